--- a/cell/serving_test.go
+++ b/cell/serving_test.go
@@ -10,12 +10,12 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// Guards against paused filling tasks that are neither let go on nor moved.
+// Guards against paused filling tasks that are neither resumed nor moved.
 func TestPausedTasksAreMoved(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 2, 1)
-	s.length = func(task string) time.Duration {
-		if s.lasts(task) {
+	s.duration = func(task string) time.Duration {
+		if s.isLasting(task) {
 			return time.Hour
 		}
 		return 3 * time.Second
@@ -25,7 +25,7 @@
 	serving.Steps[0].PerWorker = 1
 	serving.Steps[0].Image = "quick"
 	serving.Steps[0].Target = 10 * time.Millisecond
-	var slowed *fakeWorker // the worker on which the filling task begins
+	var slowed *fakeWorker // the worker on which the filling task starts
 	began := time.Duration(0)
 	s.tail = func(_ string, w *fakeWorker) time.Duration {
 		switch {
@@ -40,7 +40,7 @@
 	filling.Steps[0].Fills = true
 	filling.Steps[0].Image = "rebuild"
 	s.submit(serving)
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.after(3*time.Second, func() { s.submit(filling) })
 	var watch func()
 	watch = func() {
@@ -54,17 +54,18 @@
 	s.after(0, watch)
 	s.run(12 * time.Second)
 	is.True(slowed != nil)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.Equal(s.state(jobID(2)), "completed") // 1 s paused, then 3 s elsewhere
 }
 
-// Guards against filling tasks that work on beside a serving one whose tail wavers about its target.
-func TestFillingTasksPauseBesideAWaveringTail(t *testing.T) {
+// Guards against filling tasks that aren't paused beside a serving task whose tail
+// fluctuates around its target.
+func TestFillingTasksPauseBesideFluctuatingTail(t *testing.T) {
 	is := is.New(t)
-	const target, bearable = 10 * time.Millisecond, 4 * time.Second
+	const target, maxRunning = 10 * time.Millisecond, 4 * time.Second
 	s := newSite(t, 1, 1, 1)
-	s.length = func(task string) time.Duration {
-		if s.lasts(task) {
+	s.duration = func(task string) time.Duration {
+		if s.isLasting(task) {
 			return time.Hour
 		}
 		return 700 * time.Millisecond
@@ -75,12 +76,12 @@
 	serving.Steps[0].Target = target
 	s.tail = func(string, *fakeWorker) time.Duration {
 		if s.now/(200*time.Millisecond)%4 == 0 {
-			return target * 96 / 100 // a reading is off by a tenth
+			return target * 96 / 100 // readings are off by up to a tenth
 		}
 		return target * 104 / 100
 	}
 	s.submit(serving)
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	for i := range 200 {
 		filling := &job.Job{ID: jobID(1 + i), Spec: "x", Steps: []job.Step{step(1, 1)}}
 		filling.Steps[0].Need.Processors = 160 // a fiftieth of the worker
@@ -93,7 +94,7 @@
 	watch = func() {
 		works := false
 		for name, r := range s.workers[0].runs {
-			works = works || !s.lasts(name) && r.pace > 0
+			works = works || !s.isLasting(name) && r.pace > 0
 		}
 		if !works {
 			began = s.now
@@ -103,8 +104,8 @@
 	}
 	s.after(2*time.Second, watch)
 	s.run(12 * time.Second)
-	is.Equal(s.broken, nil)
-	if longest > bearable {
+	is.Equal(s.violations, nil)
+	if longest > maxRunning {
 		t.Errorf("filling tasks work on for %v", longest)
 	}
 }
