--- a/controller/action.go
+++ b/controller/action.go
@@ -10,7 +10,7 @@
 
 //go:generate go tool stringer -type=Verb,Level,phase,stage -output=strings.go
 
-// Verb is a call to a worker.
+// Verb is a kind of call to a worker.
 type Verb int
 
 // Calls to a worker.
@@ -25,59 +25,59 @@
 	Acknowledge
 )
 
-// Action is something that the adapters have to do. An action that calls out
-// is answered by an Input.
+// Action is something that the adapters have to carry out. An action with an
+// external call is answered by an Input.
 type Action interface{ action() }
 
-// Append asks to append records to a stream.
+// Append requests that records are appended to a stream.
 type Append struct {
 	Stream string
 	Data   [][]byte
 }
 
-// Call asks for one call to a worker. A worker gets its next call only after
-// the answer to the one before it.
+// Call requests one call to a worker. A worker gets its next call only after
+// the previous one was answered.
 type Call struct {
 	Worker     string
 	Address    string // host:port
 	Verb       Verb
 	Epoch      uint64
-	Lease      provider.LeaseRequest // of Acquire and Renew
-	To         string                // new holder, of Transfer
-	Spec       provider.TaskSpec     // of Start
-	Task       string                // of Stop and Throttle
-	Checkpoint bool                  // of Stop
-	Percent    int                   // of Throttle
-	Tasks      []string              // of Acknowledge
+	Lease      provider.LeaseRequest // only for Acquire and Renew
+	To         string                // new holder, only for Transfer
+	Spec       provider.TaskSpec     // only for Start
+	Task       string                // only for Stop and Throttle
+	Checkpoint bool                  // only for Stop
+	Percent    int                   // only for Throttle
+	Tasks      []string              // only for Acknowledge
 }
 
-// Poll asks for a worker's report, beside its other calls.
+// Poll requests a worker's report, concurrently with its other calls.
 type Poll struct {
 	Worker  string
 	Address string // host:port
 }
 
-// Send asks to send a message to another instance.
+// Send requests that a message is sent to another instance.
 type Send struct {
 	To      string
 	Message message.Message
 }
 
-// Link says which instances to hold links with.
+// Link lists the instances to keep links with.
 type Link struct {
 	Peers []message.Peer
 }
 
-// Publish hands a routing table to traffic.
+// Publish installs a routing table for traffic.
 type Publish struct {
 	Table *route.Table
 }
 
-// Answer answers a command. Err is nil, or an error of package fault.
+// Answer answers a command. Err is nil or an error of package fault.
 type Answer struct {
 	ID       uint64
 	Err      error
-	Revision uint64 // of an Apply that succeeded
+	Revision uint64 // of a successful Apply
 }
 
 // Level is the severity of an event.
@@ -90,14 +90,14 @@
 	Warn
 )
 
-// Event is one thing worth a log line. Fields alternate keys and values.
+// Event is one log line. Fields alternates keys and values.
 type Event struct {
 	Level  Level
 	Name   string
 	Fields []any
 }
 
-// Left says that a planned stop has handed over everything.
+// Left signals that a planned shutdown has handed over everything.
 type Left struct {
 	At time.Time
 }
--- a/controller/claim.go
+++ b/controller/claim.go
@@ -11,55 +11,58 @@
 )
 
 const (
-	urgentInterval = 400 * time.Millisecond // between selections while urgent tasks are queued
-	selectInterval = time.Second            // between selections, which look at the whole queue
-	reclaim        = 10 * time.Second       // before a task is claimed again
-	foreignAge     = 2 * time.Second        // before a task is claimed that another instance should claim
-	claimMax       = 256                    // tasks in one Claim record
+	urgentInterval  = 400 * time.Millisecond // between selections while urgent tasks are queued
+	normalInterval  = time.Second            // between other selections, each of which scans the whole queue
+	reclaimInterval = 10 * time.Second       // before the same task is claimed again
+	foreignClaimAge = 2 * time.Second        // age of a task at which instances other than its designated claimer claim it
+	maxClaimTasks   = 256                    // tasks in one Claim record
 )
 
-// claim asks for queued tasks that fit the free room, in fair order.
+// claimTasks claims queued tasks that fit the free capacity, in fair-share
+// order.
 //
-// Each queued task has one instance that should claim it, by rendezvous hash,
-// so that instances seldom claim the same ones. What that instance has no
-// room for is claimed by the others, when they have room left and the task
-// has waited for a while. Urgent tasks are in everybody's selection, so that
-// all keep the rest of the group's limit free for them.
-func (c *Controller) claim(now time.Time) {
-	if c.leaving || !c.fresh(now) || !c.out.Settled(c.claimed) || now.Sub(c.selectedAt) < c.selectEvery() {
+// Rendezvous hashing designates one instance to claim each task, so that
+// instances seldom claim the same task. A task for which that instance has no
+// capacity is claimed by the others once it has waited for foreignClaimAge,
+// after they have claimed all their own. Urgent tasks take part in every
+// instance's selection, so that all instances keep the rest of the group's
+// limit free for them.
+func (c *Controller) claimTasks(now time.Time) {
+	if c.leaving || !c.isFresh(now) || !c.appender.Settled(c.claimSequence) || now.Sub(c.lastSelection) < c.selectionInterval() {
 		return
 	}
-	c.selectedAt = now
-	room := c.room(now)
-	c.takeEscrowed(now, room)
-	own, foreign := c.queues(now, room)
-	choices := c.pick(now, room, own)
+	c.lastSelection = now
+	free := c.freeCapacity(now)
+	c.reserveForEscrowed(now, free)
+	own, foreign := c.splitQueue(now, free)
+	choices := c.selectTasks(now, free, own)
 	if len(choices) == len(own) {
-		choices = append(choices, c.pick(now, room, foreign)...)
+		choices = append(choices, c.selectTasks(now, free, foreign)...)
 	}
-	c.preempt(now, room, append(own, foreign...), choices)
-	c.claimChosen(now, choices)
+	c.preempt(now, free, append(own, foreign...), choices)
+	c.appendClaim(now, choices)
 }
 
-// selectEvery returns the time between selections, which is shorter while
-// urgent tasks wait.
-func (c *Controller) selectEvery() time.Duration {
+// selectionInterval returns the time between selections, which is shorter
+// while urgent tasks wait.
+func (c *Controller) selectionInterval() time.Duration {
 	if c.urgentQueued {
 		return urgentInterval
 	}
-	return selectInterval
+	return normalInterval
 }
 
-// queues returns the queued tasks that this instance should claim, and those
-// that another one should have claimed by now.
-func (c *Controller) queues(now time.Time, room map[string]resource.Vector) (own, foreign []share.Task) {
+// splitQueue returns the queued tasks that this instance should claim,
+// including all urgent ones, and those that another instance should have
+// claimed by now.
+func (c *Controller) splitQueue(now time.Time, free map[string]resource.Vector) (own, foreign []share.Task) {
 	live := c.members.Live(c.self.AvailabilityZone)
 	c.urgentQueued = false
 	for t := range c.State().Queued() {
-		if at, ok := c.proposed["claim/"+t.ID]; ok && now.Sub(at) < reclaim {
+		if at, ok := c.proposedAt["claim/"+t.ID]; ok && now.Sub(at) < reclaimInterval {
 			continue
 		}
-		if c.avoidsAll(t, room) {
+		if c.avoidsAllWorkers(t, free) {
 			continue
 		}
 		queued := share.Task{
@@ -75,29 +78,30 @@
 		switch {
 		case claimer == c.self.ID || t.Urgent:
 			own = append(own, queued)
-		case now.Sub(t.Submitted) >= foreignAge:
+		case now.Sub(t.Submitted) >= foreignClaimAge:
 			foreign = append(foreign, queued)
 		}
 	}
 	return own, foreign
 }
 
-// avoidsAll reports whether a task failed on every worker that has room here,
-// so that another instance should claim it.
-func (c *Controller) avoidsAll(t zone.Task, room map[string]resource.Vector) bool {
+// avoidsAllWorkers reports whether a task failed on every worker with free
+// capacity here, so that another instance should claim it.
+func (c *Controller) avoidsAllWorkers(t zone.Task, free map[string]resource.Vector) bool {
 	if len(t.FailedOn) == 0 {
 		return false
 	}
-	for id := range room {
-		if !c.avoids(t, id) {
+	for id := range free {
+		if !c.shouldAvoid(t, id) {
 			return false
 		}
 	}
 	return true
 }
 
-// pick selects from a queue and takes the room of what it selects.
-func (c *Controller) pick(now time.Time, room map[string]resource.Vector, queue []share.Task) []share.Choice {
+// selectTasks selects tasks from a queue and deducts their needs from the free
+// capacity.
+func (c *Controller) selectTasks(now time.Time, free map[string]resource.Vector, queue []share.Task) []share.Choice {
 	if len(queue) == 0 {
 		return nil
 	}
@@ -105,80 +109,81 @@
 	for name, g := range c.State().Groups() {
 		in.Groups = append(in.Groups, share.Group{Name: name, Limit: g.Limit, Used: g.Used})
 	}
-	for _, h := range c.sorted() {
-		free, ok := room[h.id]
+	for _, w := range c.sortedWorkers() {
+		available, ok := free[w.id]
 		if !ok {
 			continue
 		}
-		offer := c.neighbors.planner.Offer(c.candidate(now, h, free))
+		offer := c.colocation.planner.Offer(c.placementCandidate(now, w, available))
 		if !offer.IsNegative() && !offer.IsZero() {
-			in.Workers = append(in.Workers, share.Worker{ID: h.id, Free: offer, Running: c.running(h)})
+			in.Workers = append(in.Workers, share.Worker{ID: w.id, Free: offer, Running: c.runningTasks(w)})
 		}
 	}
 	choices := c.scheduler.Select(now, in)
 	for _, choice := range choices {
 		if t, ok := c.State().Task(choice.Task); ok {
-			room[choice.Worker] = room[choice.Worker].Sub(t.Need)
+			free[choice.Worker] = free[choice.Worker].Sub(t.Need)
 		}
 	}
 	return choices
 }
 
-// running returns the batch tasks on a worker, for estimates of when it gets
-// free.
-func (c *Controller) running(h *holding) []share.Running {
+// runningTasks returns the batch tasks on a worker, which the scheduler needs
+// to estimate when capacity becomes free.
+func (c *Controller) runningTasks(w *worker) []share.Running {
 	var all []share.Running
-	for _, p := range sortedAssignments(h.tasks) {
-		if p.stage == ended {
+	for _, a := range sortedAssignments(w.tasks) {
+		if a.stage == ended {
 			continue
 		}
-		t, _ := c.State().Task(p.id)
-		all = append(all, share.Running{Group: t.Group, Need: p.need, Started: p.started, Duration: t.Duration})
+		t, _ := c.State().Task(a.id)
+		all = append(all, share.Running{Group: t.Group, Need: a.need, Started: a.startedAt, Duration: t.Duration})
 	}
 	return all
 }
 
-// claimChosen writes the Claim record of what was selected.
-func (c *Controller) claimChosen(now time.Time, choices []share.Choice) {
+// appendClaim appends a Claim record for the selected tasks.
+func (c *Controller) appendClaim(now time.Time, choices []share.Choice) {
 	if len(choices) == 0 {
 		return
 	}
 	var ids []string
-	for _, choice := range choices[:min(len(choices), claimMax)] {
-		c.proposed["claim/"+choice.Task] = now
-		c.chosen[choice.Task] = choice.Worker
+	for _, choice := range choices[:min(len(choices), maxClaimTasks)] {
+		c.proposedAt["claim/"+choice.Task] = now
+		c.selectedWorkers[choice.Task] = choice.Worker
 		ids = append(ids, choice.Task)
 	}
-	if sequence, ok := c.add(record.Record{Claim: &record.Claim{Tasks: ids}}); ok {
-		c.claimed = sequence
+	if sequence, ok := c.appendRecord(record.Record{Claim: &record.Claim{Tasks: ids}}); ok {
+		c.claimSequence = sequence
 	}
 }
 
-// takeEscrowed takes the room of escrowed tasks that aren't placed yet.
-func (c *Controller) takeEscrowed(now time.Time, room map[string]resource.Vector) {
+// reserveForEscrowed deducts the needs of escrowed tasks that aren't assigned
+// to a worker yet.
+func (c *Controller) reserveForEscrowed(now time.Time, free map[string]resource.Vector) {
 	for t := range c.State().Escrow(c.self.ID) {
-		if c.placed[attemptOf(t)] != nil {
+		if c.workerByAttempt[attemptOf(t)] != nil {
 			continue
 		}
-		if h := c.workerFor(now, room, t); h != nil {
-			room[h.id] = room[h.id].Sub(t.Need)
+		if w := c.chooseWorkerForEscrowed(now, free, t); w != nil {
+			free[w.id] = free[w.id].Sub(t.Need)
 		}
 	}
 }
 
-// workerFor returns the worker that suits a task, or nil when none has room
-// without harm to a service there. The worker that the selection chose is
-// taken only when a task fits no other way, since the selection knows of
-// sizes alone.
-func (c *Controller) workerFor(now time.Time, room map[string]resource.Vector, t zone.Task) *holding {
-	id, ok := c.chosen[t.ID]
+// chooseWorkerForEscrowed returns the worker for an escrowed task, or nil when
+// none has capacity without harm to its services. The selected worker is used
+// directly only when it runs no replicas, since the selection considers only
+// sizes.
+func (c *Controller) chooseWorkerForEscrowed(now time.Time, free map[string]resource.Vector, t zone.Task) *worker {
+	id, ok := c.selectedWorkers[t.ID]
 	if !ok {
-		return c.choose(now, room, t)
+		return c.chooseWorker(now, free, t)
 	}
-	free, ok := room[id]
-	h := c.holdings[id]
-	if ok && t.Need.Fits(free) && len(h.replicas) == 0 && !c.avoids(t, id) {
-		return h
+	available, ok := free[id]
+	w := c.workers[id]
+	if ok && t.Need.Fits(available) && len(w.replicas) == 0 && !c.shouldAvoid(t, id) {
+		return w
 	}
-	return c.choose(now, room, t)
+	return c.chooseWorker(now, free, t)
 }
--- a/controller/command.go
+++ b/controller/command.go
@@ -13,45 +13,46 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// command waits for its record to be read back.
+// command is an operator's or caller's command that is answered once its
+// record is read back.
 type command struct {
-	id      uint64
-	expires time.Time
+	id        uint64
+	expiresAt time.Time
 }
 
-// submit queues tasks. A task is accepted once the stream holds it.
-func (c *Controller) submit(now time.Time, in Submit) {
-	if err := c.mayWrite(now); err != nil {
-		c.do(Answer{ID: in.ID, Err: err})
+// handleSubmit queues tasks. A task is accepted once the stream holds it.
+func (c *Controller) handleSubmit(now time.Time, in Submit) {
+	if err := c.checkWritable(now); err != nil {
+		c.emit(Answer{ID: in.ID, Err: err})
 		return
 	}
-	if err := c.checkTasks(in.Tasks); err != nil {
-		c.do(Answer{ID: in.ID, Err: err})
+	if err := c.validateTasks(in.Tasks); err != nil {
+		c.emit(Answer{ID: in.ID, Err: err})
 		return
 	}
-	c.await(now, in.ID, record.Record{Submit: &record.Submit{Tasks: in.Tasks}})
+	c.appendCommand(now, in.ID, record.Record{Submit: &record.Submit{Tasks: in.Tasks}})
 }
 
-func (c *Controller) cancel(now time.Time, in Cancel) {
-	if err := c.mayWrite(now); err != nil {
-		c.do(Answer{ID: in.ID, Err: err})
+func (c *Controller) handleCancel(now time.Time, in Cancel) {
+	if err := c.checkWritable(now); err != nil {
+		c.emit(Answer{ID: in.ID, Err: err})
 		return
 	}
-	c.await(now, in.ID, record.Record{Cancel: &record.Cancel{Tasks: in.Tasks, Jobs: in.Jobs}})
+	c.appendCommand(now, in.ID, record.Record{Cancel: &record.Cancel{Tasks: in.Tasks, Jobs: in.Jobs}})
 }
 
-// mayWrite refuses a command that has no chance of being recorded soon.
-func (c *Controller) mayWrite(now time.Time) error {
+// checkWritable rejects a command that has no chance of being recorded soon.
+func (c *Controller) checkWritable(now time.Time) error {
 	if c.leaving {
 		return fault.New(fault.Leaving, "instance %s is shutting down", c.self.ID)
 	}
-	if !c.follow.Ready() || now.Sub(c.follow.Tail()) > c.timing.Command {
+	if !c.follower.Ready() || now.Sub(c.follower.Tail()) > c.timing.Command {
 		return fault.New(fault.Unavailable, "the log service can't be reached")
 	}
 	return nil
 }
 
-func (c *Controller) checkTasks(tasks []record.Task) error {
+func (c *Controller) validateTasks(tasks []record.Task) error {
 	if len(tasks) == 0 {
 		return fault.New(fault.Invalid, "no tasks")
 	}
@@ -73,15 +74,16 @@
 	return slices.ContainsFunc(c.manifest.Groups, func(g manifest.Group) bool { return g.Name == name })
 }
 
-// await writes a command's record and answers once it is read back.
-func (c *Controller) await(now time.Time, id uint64, r record.Record) {
-	sequence, err := c.out.Add(r)
+// appendCommand appends a command's record. The command is answered once the
+// record is read back.
+func (c *Controller) appendCommand(now time.Time, id uint64, r record.Record) {
+	sequence, err := c.appender.Add(r)
 	if err != nil {
-		c.do(Answer{ID: id, Err: err})
+		c.emit(Answer{ID: id, Err: err})
 		return
 	}
-	c.commands[sequence] = &command{id: id, expires: now.Add(c.timing.Command)}
-	c.flush(now)
+	c.commands[sequence] = &command{id: id, expiresAt: now.Add(c.timing.Command)}
+	c.flushAppends(now)
 }
 
 func (c *Controller) answerCommand(now time.Time, a follower.Applied) {
@@ -90,21 +92,22 @@
 		return
 	}
 	delete(c.commands, a.Record.Sequence)
-	if err := refusedTask(a); err != nil {
-		c.do(Answer{ID: cmd.id, Err: err})
+	if err := refusedTasksError(a); err != nil {
+		c.emit(Answer{ID: cmd.id, Err: err})
 		return
 	}
 	if a.Outcome.Effect == zone.Void && len(a.Outcome.Refused) == 0 {
-		c.do(Answer{ID: cmd.id, Err: fault.New(fault.Conflict, "%s %s", a.Outcome.Reason, a.Outcome.Detail)})
+		c.emit(Answer{ID: cmd.id, Err: fault.New(fault.Conflict, "%s %s", a.Outcome.Reason, a.Outcome.Detail)})
 		return
 	}
-	c.do(Answer{ID: cmd.id})
+	c.emit(Answer{ID: cmd.id})
 }
 
-// refusedTask returns an error when the fold refused tasks of a submission,
-// but for those that it knows already: a repeat is no mistake. Of a record
-// that was taken in part the error doesn't say that nothing ran.
-func refusedTask(a follower.Applied) error {
+// refusedTasksError returns an error when applying a submission refused some
+// of its tasks. Tasks that are already known don't count: a repeated
+// submission is valid. When a part of the tasks was accepted, the error is of
+// kind fault.MayHaveRun.
+func refusedTasksError(a follower.Applied) error {
 	if a.Record.Submit == nil {
 		return nil
 	}
@@ -123,32 +126,35 @@
 	return fault.New(fault.MayHaveRun, "not taken, unlike the others: %s", strings.Join(refused, ", "))
 }
 
-// expireCommands gives up on commands that the log didn't take in time. One
-// whose record was never sent did not run; for the others nobody can tell.
+// expireCommands fails the commands that the log didn't accept in time. A
+// command whose record was never sent did not run; for the others the outcome
+// is unknown.
 func (c *Controller) expireCommands(now time.Time) {
-	c.config.expire(c, now)
-	for _, sequence := range c.pending() {
+	c.config.expirePublications(c, now)
+	for _, sequence := range c.pendingCommands() {
 		cmd := c.commands[sequence]
-		if now.Before(cmd.expires) {
+		if now.Before(cmd.expiresAt) {
 			continue
 		}
 		delete(c.commands, sequence)
-		if c.out.Withdraw(sequence) {
-			c.do(Answer{ID: cmd.id, Err: fault.New(fault.Unavailable, "the log service took no record in time")})
+		if c.appender.Withdraw(sequence) {
+			c.emit(Answer{ID: cmd.id, Err: fault.New(fault.Unavailable, "the log service took no record in time")})
 			continue
 		}
-		c.do(Answer{ID: cmd.id, Err: fault.New(fault.MayHaveRun, "the log service didn't answer; repeating the same command is safe")})
+		c.emit(Answer{ID: cmd.id, Err: fault.New(fault.MayHaveRun, "the log service didn't answer; repeating the same command is safe")})
 	}
 }
 
-// failCommands gives up on all commands when a new run starts.
+// failCommands fails all commands when a new incarnation starts.
 func (c *Controller) failCommands() {
-	for _, sequence := range c.pending() {
-		c.do(Answer{ID: c.commands[sequence].id, Err: fault.New(fault.MayHaveRun, "the instance was fenced")})
+	for _, sequence := range c.pendingCommands() {
+		c.emit(Answer{ID: c.commands[sequence].id, Err: fault.New(fault.MayHaveRun, "the instance was fenced")})
 	}
 }
 
-func (c *Controller) pending() []uint64 {
+// pendingCommands returns the record sequences of the waiting commands in
+// order.
+func (c *Controller) pendingCommands() []uint64 {
 	sequences := make([]uint64, 0, len(c.commands))
 	for sequence := range c.commands {
 		sequences = append(sequences, sequence)
--- a/controller/config.go
+++ b/controller/config.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	publishPatience = 2 * time.Second // before a record that wasn't read back is appended again
-	maxPublications = 16              // that wait at one instance
+	republishAfter  = 2 * time.Second // before a record that wasn't read back is appended again
+	maxPublications = 16              // waiting at one instance
 )
 
-// configuration is the writing and reading side of the configuration stream.
-type configuration struct {
-	pending  []*publication
-	inFlight bool
-	restated time.Time
+// configPublisher appends records to the configuration stream and tracks those
+// that aren't read back yet.
+type configPublisher struct {
+	pending         []*publication
+	inFlight        bool
+	lastRestatement time.Time
 
-	stale      bool   // a restatement was overtaken and is due again
-	understood uint64 // revision of the manifest in use
+	restateDue      bool   // a newer record made the last restatement stale
+	decodedRevision uint64 // revision of the manifest in use
 }
 
-// publication is a record that waits to be read back. A restatement has no
+// publication is a record that waits to be read back. A restatement answers no
 // command.
 type publication struct {
-	id      uint64
-	command bool
-	data    []byte
-	expires time.Time
-	tried   bool
-	again   time.Time // not to be appended before
+	id        uint64
+	isCommand bool
+	data      []byte
+	expiresAt time.Time
+	attempted bool      // appended at least once
+	retryAt   time.Time // earliest time of the next append
 }
 
-func newConfiguration() *configuration {
-	return &configuration{}
+func newConfigPublisher() *configPublisher {
+	return &configPublisher{}
 }
 
-// apply publishes a configuration. It is answered once read back.
-func (c *Controller) apply(now time.Time, in Apply) {
+// handleApply publishes a configuration. The command is answered once the
+// record is read back.
+func (c *Controller) handleApply(now time.Time, in Apply) {
 	if c.leaving {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Leaving, "instance %s is shutting down", c.self.ID)})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Leaving, "instance %s is shutting down", c.self.ID)})
 		return
 	}
-	if c.config.understood != c.history.Current().Number {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "revision %d in force is of a newer program", c.history.Current().Number)})
+	if c.config.decodedRevision != c.revisions.Current().Number {
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "revision %d in force is of a newer program", c.revisions.Current().Number)})
 		return
 	}
 	m, err := manifest.Parse("manifest", in.Manifest)
@@ -58,28 +60,28 @@
 		err = m.Follow(c.manifest)
 	}
 	if err != nil {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Invalid, "%s", err)})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Invalid, "%s", err)})
 		return
 	}
-	if !c.history.Known() && !in.Anew {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "the configuration stream hasn't told yet what is in force")})
+	if !c.revisions.Known() && !in.Anew {
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "the configuration stream hasn't told yet what is in force")})
 		return
 	}
-	if current := c.history.Current(); in.Base != current.Number {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "replaces revision %d, in force is %d by %q", in.Base, current.Number, current.Author)})
+	if current := c.revisions.Current(); in.Base != current.Number {
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "replaces revision %d, in force is %d by %q", in.Base, current.Number, current.Author)})
 		return
 	}
 	data, err := c.encodePublish(in, m)
 	if err != nil {
-		c.do(Answer{ID: in.ID, Err: err})
+		c.emit(Answer{ID: in.ID, Err: err})
 		return
 	}
 	if len(c.config.pending) >= maxPublications {
-		c.do(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "%d publications wait for the log service", len(c.config.pending))})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "%d publications wait for the log service", len(c.config.pending))})
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{id: in.ID, command: true, data: data, expires: now.Add(c.timing.Command)})
-	c.flush(now)
+	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.Command)})
+	c.flushAppends(now)
 }
 
 func (c *Controller) encodePublish(in Apply, m *manifest.Manifest) ([]byte, error) {
@@ -95,150 +97,153 @@
 	}
 	if in.Anew {
 		publish.Anew = true
-		publish.Next = c.history.Next()
+		publish.Next = c.revisions.Next()
 	}
 	return revision.Encode(revision.Record{Publish: publish})
 }
 
-// nextAppend returns the record to append now, if there is one.
-func (f *configuration) nextAppend(now time.Time) ([]byte, bool) {
-	if f.inFlight || len(f.pending) == 0 || now.Before(f.pending[0].again) {
+// nextAppend returns the record to append now, if any.
+func (p *configPublisher) nextAppend(now time.Time) ([]byte, bool) {
+	if p.inFlight || len(p.pending) == 0 || now.Before(p.pending[0].retryAt) {
 		return nil, false
 	}
-	f.inFlight = true
-	f.pending[0].tried = true
-	f.pending[0].again = now.Add(publishPatience)
-	return f.pending[0].data, true
+	p.inFlight = true
+	p.pending[0].attempted = true
+	p.pending[0].retryAt = now.Add(republishAfter)
+	return p.pending[0].data, true
 }
 
-// answered takes note that the append call ended. Whatever its outcome, the
-// record is appended again until it was read back.
-func (f *configuration) answered() {
-	f.inFlight = false
+// handleAppended ends the append in flight. Whatever the result, the record is
+// appended again until it is read back.
+func (p *configPublisher) handleAppended() {
+	p.inFlight = false
 }
 
-// expire gives up on publications that the log didn't take in time.
-func (f *configuration) expire(c *Controller, now time.Time) {
+// expirePublications drops the publications that the log didn't accept in time
+// and fails their commands.
+func (p *configPublisher) expirePublications(c *Controller, now time.Time) {
 	var kept []*publication
-	for _, p := range f.pending {
-		if now.Before(p.expires) {
-			kept = append(kept, p)
+	for _, pub := range p.pending {
+		if now.Before(pub.expiresAt) {
+			kept = append(kept, pub)
 			continue
 		}
-		if !p.command {
+		if !pub.isCommand {
 			continue
 		}
 		err := fault.New(fault.Unavailable, "the log service took no record in time")
-		if p.tried {
+		if pub.attempted {
 			err = fault.New(fault.MayHaveRun, "the log service didn't answer; see the manifest in force before applying again")
 		}
-		c.do(Answer{ID: p.id, Err: err})
+		c.emit(Answer{ID: pub.id, Err: err})
 	}
-	f.pending = kept
+	p.pending = kept
 }
 
-// readConfig folds a page of the configuration stream.
-func (c *Controller) readConfig(now time.Time, in Read) {
-	if in.Page.Oldest > c.history.Next() {
-		c.history.Restart(in.Page.Oldest)
+// handleConfigRead applies a page of the configuration stream.
+func (c *Controller) handleConfigRead(now time.Time, in Read) {
+	if in.Page.Oldest > c.revisions.Next() {
+		c.revisions.Restart(in.Page.Oldest)
 	}
 	if in.Err != nil {
 		return
 	}
-	before := c.history.Current().Number
+	before := c.revisions.Current().Number
 	for _, e := range in.Page.Entries {
-		c.takeConfig(e)
+		c.applyConfigEntry(e)
 	}
-	if c.history.Current().Number != before {
-		c.configured()
+	if c.revisions.Current().Number != before {
+		c.activateConfig()
 	}
-	c.restate(now)
-	c.flush(now)
+	c.restateConfig(now)
+	c.flushAppends(now)
 }
 
-func (c *Controller) takeConfig(e provider.Entry) {
-	outcome := c.history.Apply(e.Offset, e.Data)
+func (c *Controller) applyConfigEntry(e provider.Entry) {
+	outcome := c.revisions.Apply(e.Offset, e.Data)
 	if len(c.config.pending) == 0 || !bytes.Equal(c.config.pending[0].data, e.Data) {
 		return
 	}
-	p := c.config.pending[0]
+	pub := c.config.pending[0]
 	c.config.pending = c.config.pending[1:]
-	if !p.command {
-		c.config.stale = outcome.Kind == revision.Stale
+	if !pub.isCommand {
+		c.config.restateDue = outcome.Kind == revision.Stale
 		return
 	}
 	switch outcome.Kind {
 	case revision.Published, revision.Repeated:
-		c.do(Answer{ID: p.id, Revision: outcome.Winner.Number})
+		c.emit(Answer{ID: pub.id, Revision: outcome.Winner.Number})
 	default:
-		c.do(Answer{ID: p.id, Err: fault.New(fault.Conflict, "%s", outcome)})
+		c.emit(Answer{ID: pub.id, Err: fault.New(fault.Conflict, "%s", outcome)})
 	}
 }
 
-// configured puts the newest configuration in force here.
-func (c *Controller) configured() {
-	current := c.history.Current()
+// activateConfig puts the newest configuration in force on this instance.
+func (c *Controller) activateConfig() {
+	current := c.revisions.Current()
 	m, err := manifest.Decode(current.Manifest)
 	if err != nil {
-		c.log(Warn, "manifest not understood", "revision", current.Number, "error", err.Error())
+		c.logEvent(Warn, "manifest not understood", "revision", current.Number, "error", err.Error())
 		return
 	}
-	c.config.understood = current.Number
-	c.jobs = m.Tasks(c.self.AvailabilityZone)
+	c.config.decodedRevision = current.Number
+	c.declaredTasks = m.Tasks(c.self.AvailabilityZone)
 	c.manifest = m
-	c.dirty = true
-	c.log(Info, "configuration in force", "revision", current.Number, "author", current.Author)
+	c.routesDirty = true
+	c.logEvent(Info, "configuration in force", "revision", current.Number, "author", current.Author)
 }
 
-// restate writes the configuration in force again before the log drops it.
-func (c *Controller) restate(now time.Time) {
-	if c.config.restated.IsZero() {
-		c.config.restated = now
+// restateConfig appends the configuration in force again before the log's
+// retention drops it.
+func (c *Controller) restateConfig(now time.Time) {
+	if c.config.lastRestatement.IsZero() {
+		c.config.lastRestatement = now
 	}
-	due := now.Sub(c.config.restated) >= c.timing.Snapshot || c.config.stale
-	if c.manifest == nil || !c.proposer() || !due {
+	due := now.Sub(c.config.lastRestatement) >= c.timing.Snapshot || c.config.restateDue
+	if c.manifest == nil || !c.isProposer() || !due {
 		return
 	}
-	c.config.restated = now
-	c.config.stale = false
-	r, ok := c.history.Restate()
+	c.config.lastRestatement = now
+	c.config.restateDue = false
+	r, ok := c.revisions.Restate()
 	if !ok {
 		return
 	}
 	data, err := revision.Encode(r)
 	if err != nil {
-		c.log(Warn, "configuration not stated again", "error", err.Error())
+		c.logEvent(Warn, "configuration not stated again", "error", err.Error())
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{data: data, expires: now.Add(c.timing.Command)})
+	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.Command)})
 }
 
-// tell sends the configuration in force here to an instance that lacks it.
-func (c *Controller) tell(in Asked) {
-	current := c.history.Current()
+// handleConfigRequest sends the configuration in force here to an instance
+// that lacks it.
+func (c *Controller) handleConfigRequest(in Asked) {
+	current := c.revisions.Current()
 	if c.manifest == nil || current.Number < in.Revision {
 		return
 	}
-	c.do(Send{To: in.From, Message: message.Config{
+	c.emit(Send{To: in.From, Message: message.Config{
 		Revision: current.Number,
-		Digest:   digest(current),
+		Digest:   formatDigest(current),
 		Manifest: current.Manifest,
 	}})
 }
 
-// offer takes a configuration from another instance, for when the log can't
-// be reached from here.
-func (c *Controller) offer(in Offered) {
+// handleConfigOffer adopts a configuration sent by another instance, for when
+// this one can't reach the log.
+func (c *Controller) handleConfigOffer(in Offered) {
 	sum, err := strconv.ParseUint(in.Config.Digest, 16, 64)
 	if err != nil {
-		c.log(Warn, "configuration refused", "from", in.From, "error", err.Error())
+		c.logEvent(Warn, "configuration refused", "from", in.From, "error", err.Error())
 		return
 	}
-	if c.history.Adopt(in.Config.Revision, sum, in.Config.Manifest) {
-		c.configured()
+	if c.revisions.Adopt(in.Config.Revision, sum, in.Config.Manifest) {
+		c.activateConfig()
 	}
 }
 
-func digest(r revision.Revision) string {
+func formatDigest(r revision.Revision) string {
 	return strconv.FormatUint(r.Digest, 16)
 }
--- a/controller/config_test.go
+++ b/controller/config_test.go
@@ -12,23 +12,24 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// configBound is how soon a configuration has to be in force everywhere.
-const configBound = 12 * time.Second
+// maxConfigDelay bounds the time until a configuration is in force at every
+// instance.
+const maxConfigDelay = 12 * time.Second
 
-// revision returns a manifest that differs with n.
-func revision(n int) []byte {
+// manifestRevision returns a manifest that depends on n.
+func manifestRevision(n int) []byte {
 	return fmt.Appendf(nil, "%s  - {name: extra-%d, share: 0%%}\n", testManifest, n)
 }
 
-// awaitRevision runs until every instance has a revision, and returns how
-// long that took.
-func (h *harness) awaitRevision(n uint64) time.Duration {
+// runUntilRevision advances time until every instance has a revision, and
+// returns how long that took.
+func (h *harness) runUntilRevision(n uint64) time.Duration {
 	began := h.now
 	for h.now.Sub(began) < time.Minute {
 		h.run(step)
 		missing := 0
-		for _, node := range h.nodes {
-			if node.c.Revision() != n {
+		for _, id := range h.instances {
+			if id.c.Revision() != n {
 				missing++
 			}
 		}
@@ -39,63 +40,61 @@
 	return h.now.Sub(began)
 }
 
-// Symptom: an instance that can't read the log works by an old configuration
-// for a minute.
-// Sequence: e2 owns workers with tasks and is cut from the log; its records
-// wait; changes are published one after the other.
-// Cause: asking a peer for a configuration waits for the log.
+// Guards against an instance that uses an old configuration for a minute while
+// it can't read the log. e2 owns workers with tasks and is cut from the log,
+// so that its records wait; several changes are published in succession.
+// Requesting a configuration from a peer must not wait for the log.
 func TestConfigurationReachesACutInstance(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, 3, 4)
 	h.run(3 * time.Second)
-	h.feed(h.nodes["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
+	h.feed(h.instances["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
 	h.run(2 * time.Second)
-	h.perform("submit", []string{"e0", "16", "red", "sleep", "10s"})
-	h.perform("submit", []string{"e1", "16", "blue", "sleep", "10s"})
+	h.runCommand("submit", []string{"e0", "16", "red", "sleep", "10s"})
+	h.runCommand("submit", []string{"e1", "16", "blue", "sleep", "10s"})
 	h.run(4 * time.Second)
-	h.cuts[[2]string{"e2", theLog}] = true
+	h.cutLinks[[2]string{"e2", logEndpoint}] = true
 	h.run(10 * time.Second)
 	for n := range 4 {
-		h.feed(h.nodes["e0"], controller.Apply{ID: 2, Base: uint64(n + 1), Author: "ann", Manifest: revision(n)})
-		took := h.awaitRevision(uint64(n + 2))
+		h.feed(h.instances["e0"], controller.Apply{ID: 2, Base: uint64(n + 1), Author: "ann", Manifest: manifestRevision(n)})
+		took := h.runUntilRevision(uint64(n + 2))
 		t.Logf("revision %d in force everywhere after %v", n+2, took)
-		is.True(took <= configBound)
+		is.True(took <= maxConfigDelay)
 	}
 }
 
-// Symptom: two operators' changes are mixed, or the later one undoes the
-// earlier without anyone being told.
-// Sequence: three operators replace the same revision at three instances at
-// the same time; answers of the log get lost.
-// Cause: the last writer wins, or a repeated record counts twice.
+// Guards against mixed or silently undone changes when three operators replace
+// the same revision at three instances at the same time and answers of the log
+// get lost: the last writer must not win, and a repeated record must not count
+// twice.
 func TestRacingOperators(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 3, 3, 4)
 	h.run(3 * time.Second)
-	h.feed(h.nodes["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
+	h.feed(h.instances["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
 	h.run(2 * time.Second)
-	h.lose = 0.5
+	h.answerLoss = 0.5
 	for round := range 5 {
-		base := h.nodes["e0"].c.Revision()
-		for _, id := range keys(h.nodes) {
-			h.nodes[id].done = nil
-			h.feed(h.nodes[id], controller.Apply{ID: 7, Base: base, Author: id, Manifest: revision(round)})
+		base := h.instances["e0"].c.Revision()
+		for _, id := range sortedKeys(h.instances) {
+			h.instances[id].answers = nil
+			h.feed(h.instances[id], controller.Apply{ID: 7, Base: base, Author: id, Manifest: manifestRevision(round)})
 		}
-		h.awaitRevision(base + 1)
+		h.runUntilRevision(base + 1)
 		h.run(6 * time.Second)
 		won := 0
-		for _, id := range keys(h.nodes) {
-			is.Equal(len(h.nodes[id].done), 1) // each is answered once
-			a := h.nodes[id].done[0]
+		for _, id := range sortedKeys(h.instances) {
+			is.Equal(len(h.instances[id].answers), 1) // each operator gets one answer
+			a := h.instances[id].answers[0]
 			switch {
 			case a.Err == nil:
 				won++
 				is.Equal(a.Revision, base+1)
 			default:
 				is.True(fault.Is(a.Err, fault.Conflict))
-				is.True(strings.Contains(a.Err.Error(), "author=")) // and told who won
+				is.True(strings.Contains(a.Err.Error(), "author=")) // the error names the winner
 			}
-			is.Equal(h.nodes[id].c.Revision(), base+1)
+			is.Equal(h.instances[id].c.Revision(), base+1)
 		}
 		is.Equal(won, 1)
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,18 +1,18 @@
-// Package controller decides everything that an instance does apart from
-// routing single requests: which workers it owns, which tasks it claims,
-// starts, moves and reports, and what it tells the others.
+// Package controller makes all control decisions of an instance: which workers
+// it owns, which tasks it claims, starts, evicts and reports, and what it
+// sends to its peers. Routing single requests is not part of it.
 //
 // Usage:
 //
 //	c := controller.New(self, timing)
 //	actions := c.Step(now, controller.Tick{})
 //	for _, a := range actions {
-//		carryOut(a) // and feed the answer back as an Input
+//		execute(a) // and pass the answer to Step as an Input
 //	}
 //
-// Step is the only way in. It does no I/O, reads no clock and draws no random
-// numbers, so the same inputs give the same actions in a daemon, in a test
-// and in a recorded session.
+// Step is the only entry point. It does no I/O, reads no clock and draws no
+// random numbers, so the same inputs give the same actions in a daemon, in a
+// test and in a replayed session.
 package controller
 
 import (
@@ -32,15 +32,15 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// ConfigStream is the stream that all zones share.
+// ConfigStream is the log stream of configurations, shared by all zones.
 const ConfigStream = "config"
 
-// ZoneStream returns the name of a zone's stream.
+// ZoneStream returns the name of a zone's log stream.
 func ZoneStream(availabilityZone string) string {
 	return "zone/" + availabilityZone
 }
 
-// Self says which instance this is.
+// Self identifies the instance that runs the controller.
 type Self struct {
 	ID               string
 	AvailabilityZone string
@@ -50,176 +50,177 @@
 
 // Timing holds the durations that decisions depend on.
 type Timing struct {
-	Heartbeat time.Duration
-	Suspicion time.Duration
-	Lease     time.Duration // of a worker
-	Task      time.Duration // of a batch task
-	Drift     time.Duration
-	Isolation time.Duration // how long task leases are extended after the last read of the tail
-	Append    time.Duration
-	Snapshot  time.Duration
-	Fence     time.Duration // how long a dead instance keeps its escrow
+	Heartbeat time.Duration // interval between heartbeats
+	Suspicion time.Duration // silence after which a member is suspected
+	Lease     time.Duration // TTL of a worker's lease
+	Task      time.Duration // TTL of a batch task's lease
+	Drift     time.Duration // bound on the clock drift of a worker over one lease
+	Isolation time.Duration // how long after the last read of the log's tail task leases are extended
+	Append    time.Duration // interval between appends
+	Snapshot  time.Duration // interval between snapshots
+	Fence     time.Duration // how long an instance is out of service before it is fenced
 	Command   time.Duration // how long a command may wait for the log
 }
 
-// Controller is the control state of one instance. It isn't safe for use by
-// several goroutines.
+// Controller is the control state of one instance. It isn't safe for
+// concurrent use.
 type Controller struct {
-	self    Self
-	timing  Timing
-	stream  string
-	members *member.Table
-	book    *lease.Book
-	follow  *follower.Follower
-	out     *appender.Appender
-	history *revision.History
-	config  *configuration
-
-	manifest *manifest.Manifest
-	jobs     []record.Task // that the manifest declares for this zone
-	plan     *replica.Plan
-	planned  planKey
-	listed   []provider.Instance
-	holdings map[string]*holding
-	placed   map[record.Attempt]*holding // attempts and the workers they were put on
-	reported map[string]report           // by task
-	proposed map[string]time.Time        // idempotent proposals and when they were made
-	chosen   map[string]string           // claimed tasks and the workers they were chosen for
-	fences   map[record.Writer]time.Time // when a fence was read
-	missed   map[record.Writer]time.Time // since when an owner is out of service
-	commands map[uint64]*command         // by the sequence of the record they wait for
-	free     map[string]int
-	peers    []message.Peer
-
-	scheduler    *share.Scheduler
-	neighbors    *neighbors
-	selectedAt   time.Time // when tasks were last selected
-	urgentQueued bool      // the last selection saw urgent tasks
-	shrunkAt     time.Time // when groups were last compared with their limits
-	claimed      uint64    // sequence of the newest Claim record
-	snapshotAt   time.Time
-	snapshot     uint64    // sequence of the newest Snapshot record
-	lostAt       time.Time // since when no state is left
-	now          time.Time // of the step under way
-	leaving      bool
-	left         bool
-	dirty        bool // the routing table is out of date
+	self      Self
+	timing    Timing
+	stream    string
+	members   *member.Table
+	leases    *lease.Book
+	follower  *follower.Follower
+	appender  *appender.Appender
+	revisions *revision.History
+	config    *configPublisher
+
+	manifest        *manifest.Manifest
+	declaredTasks   []record.Task // of the manifest's jobs in this zone
+	plan            *replica.Plan
+	planInputs      planKey
+	instances       []provider.Instance
+	workers         map[string]*worker
+	workerByAttempt map[record.Attempt]*worker  // the worker that each attempt is assigned to
+	pendingEnds     map[string]pendingEnd       // by task
+	proposedAt      map[string]time.Time        // when each idempotent proposal was last made
+	selectedWorkers map[string]string           // worker by claimed task
+	fencedAt        map[record.Writer]time.Time // when each fence was read
+	downSince       map[record.Writer]time.Time // since when each owner is out of service
+	commands        map[uint64]*command         // by sequence of the record that must be read back
+	freeSlots       map[string]int              // free request slots by service
+	peers           []message.Peer
+
+	scheduler        *share.Scheduler
+	colocation       *colocation
+	lastSelection    time.Time // when tasks were last selected
+	urgentQueued     bool      // whether the last selection saw urgent tasks
+	lastLimitCheck   time.Time // when groups were last compared with their limits
+	claimSequence    uint64    // of the newest Claim record
+	lastSnapshot     time.Time
+	snapshotSequence uint64    // of the newest Snapshot record
+	stateLostAt      time.Time // when the zone's state was found lost; zero while it isn't
+	now              time.Time // time of the current step
+	leaving          bool
+	left             bool
+	routesDirty      bool // the routing table is out of date
 
 	actions []Action
 }
 
-// New returns a Controller that knows nothing yet.
+// New returns a Controller without any state.
 func New(self Self, timing Timing) *Controller {
 	c := &Controller{
-		self:     self,
-		timing:   timing,
-		stream:   ZoneStream(self.AvailabilityZone),
-		history:  revision.New(),
-		config:   newConfiguration(),
-		holdings: make(map[string]*holding),
-		free:     make(map[string]int),
+		self:      self,
+		timing:    timing,
+		stream:    ZoneStream(self.AvailabilityZone),
+		revisions: revision.New(),
+		config:    newConfigPublisher(),
+		workers:   make(map[string]*worker),
+		freeSlots: make(map[string]int),
 	}
 	c.scheduler = share.New()
-	c.neighbors = newNeighbors()
-	c.follow = follower.New(func() *zone.State { return zone.New(self.AvailabilityZone) })
-	c.begin(self.Incarnation)
+	c.colocation = newColocation()
+	c.follower = follower.New(func() *zone.State { return zone.New(self.AvailabilityZone) })
+	c.startIncarnation(self.Incarnation)
 	return c
 }
 
-// begin starts a run under an incarnation, with nothing of an earlier one.
-func (c *Controller) begin(incarnation uint64) {
+// startIncarnation starts a run under an incarnation and drops what belonged
+// to the previous one.
+func (c *Controller) startIncarnation(incarnation uint64) {
 	c.self.Incarnation = incarnation
 	c.members = c.newMembers()
-	c.book = c.newBook()
-	c.out = appender.New(c.writer(), appender.WithInterval(c.timing.Append))
-	c.placed = make(map[record.Attempt]*holding)
-	for _, h := range c.holdings {
-		h.tasks = make(map[string]*assignment)
+	c.leases = c.newLeaseBook()
+	c.appender = appender.New(c.writer(), appender.WithInterval(c.timing.Append))
+	c.workerByAttempt = make(map[record.Attempt]*worker)
+	for _, w := range c.workers {
+		w.tasks = make(map[string]*assignment)
 	}
-	c.reported = make(map[string]report)
-	c.proposed = make(map[string]time.Time)
-	c.claimed = 0
-	c.snapshot = 0
-	c.chosen = make(map[string]string)
-	c.fences = make(map[record.Writer]time.Time)
-	c.missed = make(map[record.Writer]time.Time)
+	c.pendingEnds = make(map[string]pendingEnd)
+	c.proposedAt = make(map[string]time.Time)
+	c.claimSequence = 0
+	c.snapshotSequence = 0
+	c.selectedWorkers = make(map[string]string)
+	c.fencedAt = make(map[record.Writer]time.Time)
+	c.downSince = make(map[record.Writer]time.Time)
 	c.commands = make(map[uint64]*command)
 }
 
-// Step takes one input and returns what to do about it.
+// Step handles one input and returns the resulting actions.
 func (c *Controller) Step(now time.Time, in Input) []Action {
 	c.actions = nil
 	c.now = now
-	c.take(now, in)
+	c.handle(now, in)
 	return c.actions
 }
 
-// State returns the zone's folded state, or nil before there is one. It must
-// not be changed, nor kept beyond the next Step.
+// State returns the zone's replicated state, or nil before there is one. The
+// caller must not change it or keep it beyond the next Step.
 func (c *Controller) State() *zone.State {
-	return c.follow.State()
+	return c.follower.State()
 }
 
-func (c *Controller) take(now time.Time, in Input) {
+func (c *Controller) handle(now time.Time, in Input) {
 	switch in := in.(type) {
 	case Tick:
-		c.tick(now)
+		c.handleTick(now)
 	case Read:
-		c.read(now, in)
+		c.handleRead(now, in)
 	case Appended:
-		c.appended(now, in)
+		c.handleAppended(now, in)
 	case Listed:
-		c.list(now, in.Instances)
+		c.handleListed(now, in.Instances)
 	case Heard:
-		c.hear(now, in.Heartbeat)
+		c.handleHeartbeat(now, in.Heartbeat)
 	case Unlinked:
-		c.unlink(now, in)
+		c.handleUnlinked(now, in)
 	case Asked:
-		c.tell(in)
+		c.handleConfigRequest(in)
 	case Offered:
-		c.offer(in)
+		c.handleConfigOffer(in)
 	case HandedOver:
-		c.handedOver(now, in)
+		c.handleHandover(now, in)
 	case Leased:
-		c.leased(now, in)
+		c.handleLeaseAnswer(now, in)
 	case Called:
-		c.called(now, in)
+		c.handleCallAnswer(now, in)
 	case Reported:
-		c.report(now, in)
+		c.handleReport(now, in)
 	case Submit:
-		c.submit(now, in)
+		c.handleSubmit(now, in)
 	case Cancel:
-		c.cancel(now, in)
+		c.handleCancel(now, in)
 	case Apply:
-		c.apply(now, in)
+		c.handleApply(now, in)
 	case Free:
-		c.free = in.Slots
+		c.freeSlots = in.Slots
 	case Leave:
-		c.leave(now)
+		c.handleLeave(now)
 	}
 }
 
-// tick does everything that depends on time alone.
-func (c *Controller) tick(now time.Time) {
+// handleTick does everything that depends on time alone.
+func (c *Controller) handleTick(now time.Time) {
 	c.members.Tick(now)
-	c.beat(now)
-	c.lapseLeases(now)
-	c.own(now)
-	c.renew(now)
-	if c.follow.Ready() {
-		c.returnUnstarted()
-		c.propose(now)
-		c.settleUnreachable(now)
-		c.startEscrow(now)
-		c.claim(now)
-		c.askReports(now)
-		c.shrink(now)
+	c.sendHeartbeats(now)
+	c.handleLapsedLeases(now)
+	c.reconcileOwnership(now)
+	c.renewDueLeases(now)
+	if c.follower.Ready() {
+		c.returnUnstartedTasks()
+		c.proposeRecords(now)
+		c.evictFromUnreachable(now)
+		c.startEscrowedTasks(now)
+		c.claimTasks(now)
+		c.requestReports(now)
+		c.enforceLimits(now)
 	}
-	c.placeReplicas(now)
+	c.reconcileReplicas(now)
 	c.expireCommands(now)
-	c.sweep(now)
-	c.flush(now)
-	c.publish(now)
+	c.pruneProposals(now)
+	c.flushAppends(now)
+	c.publishRoutes(now)
 	c.finishLeaving(now)
 }
 
@@ -227,21 +228,22 @@
 	return record.Writer{ID: c.self.ID, Incarnation: c.self.Incarnation}
 }
 
-// fresh reports whether the folded state is recent enough to act on.
-func (c *Controller) fresh(now time.Time) bool {
-	return c.follow.Ready() && now.Sub(c.follow.Tail()) <= c.timing.Isolation
+// isFresh reports whether the zone's state is recent enough to act on.
+func (c *Controller) isFresh(now time.Time) bool {
+	return c.follower.Ready() && now.Sub(c.follower.Tail()) <= c.timing.Isolation
 }
 
-// proposer reports whether this instance is the one that should write what
-// any instance of the zone may write. Two that both think so do no harm.
-func (c *Controller) proposer() bool {
+// isProposer reports whether this instance writes the records that any
+// instance of the zone may write. It is harmless when two instances consider
+// themselves the proposer.
+func (c *Controller) isProposer() bool {
 	return !c.leaving && c.members.Lowest(c.self.AvailabilityZone) == c.self.ID
 }
 
-func (c *Controller) do(a Action) {
+func (c *Controller) emit(a Action) {
 	c.actions = append(c.actions, a)
 }
 
-func (c *Controller) log(level Level, name string, fields ...any) {
-	c.do(Event{Level: level, Name: name, Fields: fields})
+func (c *Controller) logEvent(level Level, name string, fields ...any) {
+	c.emit(Event{Level: level, Name: name, Fields: fields})
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -24,27 +24,27 @@
   - {name: blue, share: 50%}
 `
 
-// TestFaults plays the schedules of testdata/faults. Each file opens with
-// the symptom, the sequence of events and the cause of the failure it is
-// about; then a line is a time, a verb and its arguments. Every task has to
-// end once, none may run in two places, and no group may exceed its limit. The
-// whole session, every event and record, has to equal the golden file beside
-// the schedule (go test ./controller -run TestFaults -update).
+// TestFaults runs the schedules of testdata/faults. Each file begins with a
+// comment on the failure that it guards against; each further line is a time,
+// a command and its arguments. Every task must end once, none may run in two
+// places, and no group may exceed its limit. The whole session, every event
+// and record, must equal the golden file beside the schedule (go test
+// ./controller -run TestFaults -update).
 func TestFaults(t *testing.T) {
 	files, err := filepath.Glob("testdata/faults/*.txt")
 	is.New(t).NoErr(err)
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
-			play(t, file)
+			runSchedule(t, file)
 		})
 	}
 }
 
-func play(t *testing.T, file string) {
+func runSchedule(t *testing.T, file string) {
 	is := is.New(t)
 	h := newHarness(t, 1, 3, 4)
 	h.run(3 * time.Second)
-	h.feed(h.nodes["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
+	h.feed(h.instances["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
 	h.run(2 * time.Second)
 	f, err := os.Open(file)
 	is.NoErr(err)
@@ -60,30 +60,30 @@
 		at, err := time.ParseDuration(words[0])
 		is.NoErr(err)
 		h.run(began.Add(at).Sub(h.now))
-		h.write("# %s", strings.Join(words[1:], " "))
-		h.perform(words[1], words[2:])
+		h.logf("# %s", strings.Join(words[1:], " "))
+		h.runCommand(words[1], words[2:])
 	}
-	if !h.settledBy(3 * time.Minute) {
-		t.Fatalf("tasks left over:\n%s", h.any().c.Dump(h.now))
+	if !h.runUntilSettled(3 * time.Minute) {
+		t.Fatalf("tasks left over:\n%s", h.anyRunning().c.Dump(h.now))
 	}
-	once(t, h)
-	h.writeEnd()
+	checkRunsOnce(t, h)
+	h.logTaskEnds()
 	goldie.New(t, goldie.WithFixtureDir("testdata/faults"), goldie.WithNameSuffix(".golden")).
 		Assert(t, strings.TrimSuffix(filepath.Base(file), ".txt"), []byte(h.transcript.String()))
 }
 
-// writeEnd closes the transcript with how each task ended and how often it
-// ran.
-func (h *harness) writeEnd() {
-	s := h.any().c.State()
+// logTaskEnds ends the transcript with the final state and the number of runs
+// of each task.
+func (h *harness) logTaskEnds() {
+	s := h.anyRunning().c.State()
 	for _, account := range h.ledger().Tasks {
 		v, _ := s.Task(account.Task)
-		h.write("task %s %v attempt=%d runs=%d", account.Task, v.State, v.Attempt, len(account.Runs))
+		h.logf("task %s %v attempt=%d runs=%d", account.Task, v.State, v.Attempt, len(account.Runs))
 	}
 }
 
-// perform carries out one line of a schedule.
-func (h *harness) perform(verb string, args []string) {
+// runCommand executes one line of a schedule.
+func (h *harness) runCommand(verb string, args []string) {
 	switch verb {
 	case "submit": // instance, count, group, command
 		n, err := strconv.Atoi(args[1])
@@ -91,31 +91,31 @@
 			h.t.Fatal(err)
 		}
 		h.submitted += n
-		h.feed(h.nodes[args[0]], controller.Submit{ID: 2, Tasks: tasks(n, args[2], strings.Join(args[3:], " "))})
+		h.feed(h.instances[args[0]], controller.Submit{ID: 2, Tasks: newTasks(n, args[2], strings.Join(args[3:], " "))})
 	case "large": // instance, processors, group, command
 		processors, err := strconv.ParseInt(args[1], 10, 64)
 		if err != nil {
 			h.t.Fatal(err)
 		}
 		h.submitted++
-		task := tasks(1, "large-"+args[2], strings.Join(args[3:], " "))[0]
+		task := newTasks(1, "large-"+args[2], strings.Join(args[3:], " "))[0]
 		task.Group = args[2]
 		task.Need.Processors = processors
-		h.feed(h.nodes[args[0]], controller.Submit{ID: 4, Tasks: []record.Task{task}})
+		h.feed(h.instances[args[0]], controller.Submit{ID: 4, Tasks: []record.Task{task}})
 	case "kill":
-		delete(h.nodes, args[0])
+		delete(h.instances, args[0])
 	case "boot":
 		h.boot(args[0])
 	case "leave":
-		h.feed(h.nodes[args[0]], controller.Leave{})
+		h.feed(h.instances[args[0]], controller.Leave{})
 	case "pause":
-		h.nodes[args[0]].paused = true
+		h.instances[args[0]].paused = true
 	case "resume":
-		h.nodes[args[0]].paused = false
+		h.instances[args[0]].paused = false
 	case "cut":
-		h.cuts[[2]string{args[0], args[1]}] = true
+		h.cutLinks[[2]string{args[0], args[1]}] = true
 	case "heal":
-		delete(h.cuts, [2]string{args[0], args[1]})
+		delete(h.cutLinks, [2]string{args[0], args[1]})
 	case "down":
 		h.logDown = true
 	case "up":
@@ -125,28 +125,28 @@
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		h.lose = part
+		h.answerLoss = part
 	case "stall":
-		h.stalled[args[0]] = true
+		h.stalledWorkers[args[0]] = true
 	case "go":
-		delete(h.stalled, args[0])
+		delete(h.stalledWorkers, args[0])
 	case "die":
-		h.dead[args[0]] = true
+		h.deadWorkers[args[0]] = true
 	case "expire":
 		h.oldest = uint64(len(h.streams[controller.ZoneStream("a")]))
 	case "cancel":
-		h.feed(h.nodes[args[0]], controller.Cancel{ID: 3, Tasks: args[1:]})
+		h.feed(h.instances[args[0]], controller.Cancel{ID: 3, Tasks: args[1:]})
 	case "wait":
 	default:
 		h.t.Fatalf("no verb %q", verb)
 	}
 }
 
-// once checks that each task has exactly one completed run among those that
-// the record names as done.
-func once(t *testing.T, h *harness) {
+// checkRunsOnce checks that every task that ran is recorded with at least as
+// many attempts as it had runs, and that no runs overlapped.
+func checkRunsOnce(t *testing.T, h *harness) {
 	t.Helper()
-	s := h.any().c.State()
+	s := h.anyRunning().c.State()
 	for _, account := range h.ledger().Tasks {
 		v, ok := s.Task(account.Task)
 		if !ok {
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	step    = 100 * time.Millisecond
-	latency = 50 * time.Millisecond
-	timeout = 1500 * time.Millisecond
-	theLog  = "log"
+	step        = 100 * time.Millisecond
+	latency     = 50 * time.Millisecond
+	callTimeout = 1500 * time.Millisecond
+	logEndpoint = "log"
 )
 
 var testTiming = controller.Timing{
@@ -39,41 +39,41 @@
 	Command:   5 * time.Second,
 }
 
-// harness joins controllers of one zone to a fake log and to stand-ins of
+// harness connects the controllers of one zone to a fake log and to stand-in
 // workers, all in virtual time and in one goroutine.
 type harness struct {
-	t       *testing.T
-	start   time.Time
-	now     time.Time
-	rand    *rand.Rand
-	streams map[string][]provider.Entry
-	oldest  uint64 // of the zone stream
-	nodes   map[string]*node
-	workers map[string]*worker.Worker
-	dead    map[string]bool // workers
-	leaving map[string]bool // workers, on the list
-	stalled map[string]bool // workers that stand still; calls wait for them
-	events  []event
-	cuts    map[[2]string]bool
-	lose    float64 // part of the answers that get lost
-	logDown bool
-	most    map[string]int64 // highest use of a group's processors
+	t              *testing.T
+	start          time.Time
+	now            time.Time
+	rand           *rand.Rand
+	streams        map[string][]provider.Entry
+	oldest         uint64 // of the zone stream
+	instances      map[string]*instance
+	workers        map[string]*worker.Worker
+	deadWorkers    map[string]bool
+	leavingWorkers map[string]bool // listed as leaving
+	stalledWorkers map[string]bool // calls to them wait until the stall ends
+	scheduled      []scheduledFunc
+	cutLinks       map[[2]string]bool
+	answerLoss     float64 // fraction of answers that get lost
+	logDown        bool
+	maxUsed        map[string]int64 // highest use of processors by group
 
 	submitted  int // tasks
 	transcript strings.Builder
 }
 
-type node struct {
-	c      *controller.Controller
-	id     string
-	paused bool
-	inbox  []controller.Input
-	left   bool
-	done   []controller.Answer
-	table  *route.Table
+type instance struct {
+	c       *controller.Controller
+	id      string
+	paused  bool
+	inbox   []controller.Input
+	left    bool
+	answers []controller.Answer
+	routes  *route.Table
 }
 
-type event struct {
+type scheduledFunc struct {
 	at  time.Time
 	run func()
 }
@@ -82,15 +82,15 @@
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := &harness{
 		t: t, start: start, now: start,
-		rand:    rand.New(rand.NewPCG(seed, 1)),
-		streams: map[string][]provider.Entry{},
-		nodes:   map[string]*node{},
-		workers: map[string]*worker.Worker{},
-		dead:    map[string]bool{},
-		stalled: map[string]bool{},
-		leaving: map[string]bool{},
-		cuts:    map[[2]string]bool{},
-		most:    map[string]int64{},
+		rand:           rand.New(rand.NewPCG(seed, 1)),
+		streams:        map[string][]provider.Entry{},
+		instances:      map[string]*instance{},
+		workers:        map[string]*worker.Worker{},
+		deadWorkers:    map[string]bool{},
+		stalledWorkers: map[string]bool{},
+		leavingWorkers: map[string]bool{},
+		cutLinks:       map[[2]string]bool{},
+		maxUsed:        map[string]int64{},
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
@@ -104,21 +104,21 @@
 	return h
 }
 
-// boot starts an instance, also in place of one under the same ID.
+// boot starts an instance, replacing a running one with the same ID.
 func (h *harness) boot(id string) {
 	self := controller.Self{ID: id, AvailabilityZone: "a", Incarnation: uint64(h.now.UnixMilli()), Address: id}
-	h.nodes[id] = &node{id: id, c: controller.New(self, testTiming)}
+	h.instances[id] = &instance{id: id, c: controller.New(self, testTiming)}
 }
 
 func (h *harness) list() []provider.Instance {
 	var all []provider.Instance
-	for _, id := range keys(h.nodes) {
+	for _, id := range sortedKeys(h.instances) {
 		all = append(all, provider.Instance{ID: id, Role: provider.RoleEntry, AvailabilityZone: "a", Address: id, Status: provider.StatusLive})
 	}
-	for _, id := range keys(h.workers) {
-		if !h.dead[id] {
+	for _, id := range sortedKeys(h.workers) {
+		if !h.deadWorkers[id] {
 			in := h.workers[id].Instance("a", "r", id)
-			if h.leaving[id] {
+			if h.leavingWorkers[id] {
 				in.Status = provider.StatusLeaving
 			}
 			all = append(all, in)
@@ -127,22 +127,22 @@
 	return all
 }
 
-// run moves time on and checks what must hold after every step.
+// run advances time and checks the invariants after every step.
 func (h *harness) run(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.now = h.now.Add(step)
-		h.deliver()
-		for _, id := range keys(h.nodes) {
-			if n, ok := h.nodes[id]; ok {
-				h.turn(n)
+		h.runScheduled()
+		for _, id := range sortedKeys(h.instances) {
+			if n, ok := h.instances[id]; ok {
+				h.stepInstance(n)
 			}
 		}
-		h.check()
+		h.checkInvariants()
 	}
 }
 
-// turn gives an instance its inputs of one step.
-func (h *harness) turn(n *node) {
+// stepInstance feeds an instance its inputs of one step.
+func (h *harness) stepInstance(n *instance) {
 	if n.paused {
 		return
 	}
@@ -160,15 +160,15 @@
 	h.feed(n, controller.Tick{})
 }
 
-func (h *harness) feed(n *node, in controller.Input) {
+func (h *harness) feed(n *instance, in controller.Input) {
 	for _, a := range n.c.Step(h.now, in) {
-		h.carryOut(n, a)
+		h.handleAction(n, a)
 	}
 }
 
-func (h *harness) read(n *node, stream string) controller.Input {
+func (h *harness) read(n *instance, stream string) controller.Input {
 	in := controller.Read{Stream: stream, Sent: h.now}
-	if h.logDown || h.isCut(n.id, theLog) {
+	if h.logDown || h.isCut(n.id, logEndpoint) {
 		in.Err = fault.New(fault.Unavailable, "log")
 		return in
 	}
@@ -187,7 +187,7 @@
 	return in
 }
 
-func (h *harness) carryOut(n *node, a controller.Action) {
+func (h *harness) handleAction(n *instance, a controller.Action) {
 	switch a := a.(type) {
 	case controller.Append:
 		h.append(n, a)
@@ -198,20 +198,20 @@
 	case controller.Send:
 		h.send(n, a)
 	case controller.Publish:
-		n.table = a.Table
+		n.routes = a.Table
 	case controller.Answer:
-		n.done = append(n.done, a)
-		h.write("%s answers %d: %v", n.id, a.ID, a.Err)
+		n.answers = append(n.answers, a)
+		h.logf("%s answers %d: %v", n.id, a.ID, a.Err)
 	case controller.Left:
 		n.left = true
-		delete(h.nodes, n.id)
+		delete(h.instances, n.id)
 	case controller.Event:
-		h.write("%s %s %v", n.id, a.Name, a.Fields)
+		h.logf("%s %s %v", n.id, a.Name, a.Fields)
 	}
 }
 
-// write adds a line to the session's transcript.
-func (h *harness) write(format string, args ...any) {
+// logf adds a line to the transcript.
+func (h *harness) logf(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(&h.transcript, "%7v %s\n", h.now.Sub(h.start), line)
 	if testing.Verbose() {
@@ -219,65 +219,66 @@
 	}
 }
 
-// after runs f later, and answer brings an input to an instance unless it
-// was replaced in the meantime.
-func (h *harness) after(d time.Duration, f func()) {
-	h.events = append(h.events, event{h.now.Add(d), f})
+// schedule runs f after a delay.
+func (h *harness) schedule(d time.Duration, f func()) {
+	h.scheduled = append(h.scheduled, scheduledFunc{h.now.Add(d), f})
 }
 
-func (h *harness) answer(n *node, in controller.Input) {
-	if h.nodes[n.id] == n {
+// deliverInput queues an input for an instance unless that was replaced in the
+// meantime.
+func (h *harness) deliverInput(n *instance, in controller.Input) {
+	if h.instances[n.id] == n {
 		n.inbox = append(n.inbox, in)
 	}
 }
 
-func (h *harness) deliver() {
-	due := h.events
-	h.events = nil
+func (h *harness) runScheduled() {
+	due := h.scheduled
+	h.scheduled = nil
 	for _, e := range due {
 		if e.at.After(h.now) {
-			h.events = append(h.events, e)
+			h.scheduled = append(h.scheduled, e)
 			continue
 		}
 		e.run()
 	}
 }
 
-func (h *harness) append(n *node, a controller.Append) {
-	h.after(latency, func() {
-		if h.logDown || h.isCut(n.id, theLog) {
-			h.after(timeout, func() {
-				h.answer(n, controller.Appended{Stream: a.Stream, Err: fault.New(fault.Unavailable, "log")})
+func (h *harness) append(n *instance, a controller.Append) {
+	h.schedule(latency, func() {
+		if h.logDown || h.isCut(n.id, logEndpoint) {
+			h.schedule(callTimeout, func() {
+				h.deliverInput(n, controller.Appended{Stream: a.Stream, Err: fault.New(fault.Unavailable, "log")})
 			})
 			return
 		}
 		for _, data := range a.Data {
-			h.writeRecord(a.Stream, data)
+			h.logRecord(a.Stream, data)
 			s := h.streams[a.Stream]
 			h.streams[a.Stream] = append(s, provider.Entry{Offset: uint64(len(s)), Time: h.now, Data: data})
 		}
 		var err error
-		if h.rand.Float64() < h.lose {
+		if h.rand.Float64() < h.answerLoss {
 			err = fault.New(fault.MayHaveRun, "answer lost")
 		}
-		h.after(latency, func() { h.answer(n, controller.Appended{Stream: a.Stream, Err: err}) })
+		h.schedule(latency, func() { h.deliverInput(n, controller.Appended{Stream: a.Stream, Err: err}) })
 	})
 }
 
-// writeRecord adds an appended record to the transcript in readable form.
-func (h *harness) writeRecord(stream string, data []byte) {
+// logRecord adds an appended record to the transcript in readable form.
+func (h *harness) logRecord(stream string, data []byte) {
 	if stream == controller.ConfigStream {
-		h.write("appended to %s", stream)
+		h.logf("appended to %s", stream)
 		return
 	}
 	r, err := record.Decode(data)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.write("appended %d by %s/%d: %s", len(h.streams[stream]), r.Writer.ID, r.Sequence, body(r))
+	h.logf("appended %d by %s/%d: %s", len(h.streams[stream]), r.Writer.ID, r.Sequence, describeRecord(r))
 }
 
-func body(r record.Record) string {
+func describeRecord(r record.Record) string {
 	switch {
 	case r.Limits != nil:
 		return fmt.Sprintf("limits revision=%d", r.Limits.Revision)
@@ -309,48 +310,48 @@
 	return "marker"
 }
 
-func (h *harness) call(n *node, a controller.Call) {
+func (h *harness) call(n *instance, a controller.Call) {
 	c := &call{n: n, a: a, sent: h.now}
-	h.after(latency, func() { h.arrive(c) })
+	h.schedule(latency, func() { h.deliverCall(c) })
 }
 
-// call is a call under way. It is answered once: by the worker, or by the
-// caller's time-out.
+// call is a call in flight. It is answered once, by the worker or by the
+// caller's timeout.
 type call struct {
-	n        *node
+	n        *instance
 	a        controller.Call
 	sent     time.Time
 	answered bool
 }
 
-func (h *harness) arrive(c *call) {
-	if h.isCut(c.n.id, c.a.Worker) || h.dead[c.a.Worker] {
-		h.after(timeout, func() { h.reply(c, provider.Lease{}, fault.New(fault.MayHaveRun, "no answer")) })
+func (h *harness) deliverCall(c *call) {
+	if h.isCut(c.n.id, c.a.Worker) || h.deadWorkers[c.a.Worker] {
+		h.schedule(callTimeout, func() { h.reply(c, provider.Lease{}, fault.New(fault.MayHaveRun, "no answer")) })
 		return
 	}
-	if h.stalled[c.a.Worker] {
-		h.after(timeout, func() { h.reply(c, provider.Lease{}, fault.New(fault.MayHaveRun, "no answer")) })
-		h.after(step, func() { h.resume(c) })
+	if h.stalledWorkers[c.a.Worker] {
+		h.schedule(callTimeout, func() { h.reply(c, provider.Lease{}, fault.New(fault.MayHaveRun, "no answer")) })
+		h.schedule(step, func() { h.retryStalledCall(c) })
 		return
 	}
-	h.take(c)
+	h.executeCall(c)
 }
 
-// resume carries out a call that waited for a stalled worker.
-func (h *harness) resume(c *call) {
-	if h.stalled[c.a.Worker] {
-		h.after(step, func() { h.resume(c) })
+// retryStalledCall executes a call once its worker is no longer stalled.
+func (h *harness) retryStalledCall(c *call) {
+	if h.stalledWorkers[c.a.Worker] {
+		h.schedule(step, func() { h.retryStalledCall(c) })
 		return
 	}
-	h.take(c)
+	h.executeCall(c)
 }
 
-func (h *harness) take(c *call) {
+func (h *harness) executeCall(c *call) {
 	l, err := h.execute(c.a)
-	if h.rand.Float64() < h.lose {
+	if h.rand.Float64() < h.answerLoss {
 		err = fault.New(fault.MayHaveRun, "answer lost")
 	}
-	h.after(latency, func() { h.reply(c, l, err) })
+	h.schedule(latency, func() { h.reply(c, l, err) })
 }
 
 func (h *harness) reply(c *call, l provider.Lease, err error) {
@@ -361,13 +362,13 @@
 	n, a, sent := c.n, c.a, c.sent
 	switch a.Verb {
 	case controller.Acquire, controller.Renew, controller.Transfer:
-		h.answer(n, controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
+		h.deliverInput(n, controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
 	default:
 		task := a.Task
 		if a.Verb == controller.Start {
 			task = a.Spec.ID
 		}
-		h.answer(n, controller.Called{Worker: a.Worker, Verb: a.Verb, Task: task, Attempt: a.Spec.Attempt, Sent: sent, Err: err})
+		h.deliverInput(n, controller.Called{Worker: a.Worker, Verb: a.Verb, Task: task, Attempt: a.Spec.Attempt, Sent: sent, Err: err})
 	}
 }
 
@@ -398,48 +399,49 @@
 	return provider.Lease{}, fault.New(fault.Internal, "no verb")
 }
 
-func (h *harness) poll(n *node, a controller.Poll) {
-	h.after(latency, func() {
-		if h.isCut(n.id, a.Worker) || h.dead[a.Worker] || h.stalled[a.Worker] {
+func (h *harness) poll(n *instance, a controller.Poll) {
+	h.schedule(latency, func() {
+		if h.isCut(n.id, a.Worker) || h.deadWorkers[a.Worker] || h.stalledWorkers[a.Worker] {
 			return
 		}
 		report := h.workers[a.Worker].Report()
-		h.after(latency, func() { h.answer(n, controller.Reported{Worker: a.Worker, Report: report}) })
+		h.schedule(latency, func() { h.deliverInput(n, controller.Reported{Worker: a.Worker, Report: report}) })
 	})
 }
 
-func (h *harness) send(n *node, a controller.Send) {
-	h.after(latency, func() {
-		to, ok := h.nodes[a.To]
+func (h *harness) send(n *instance, a controller.Send) {
+	h.schedule(latency, func() {
+		to, ok := h.instances[a.To]
 		if !ok || h.isCut(n.id, a.To) {
 			return
 		}
 		switch m := a.Message.(type) {
 		case message.Heartbeat:
-			h.answer(to, controller.Heard{Heartbeat: member.Heartbeat(m)})
+			h.deliverInput(to, controller.Heard{Heartbeat: member.Heartbeat(m)})
 		case message.Handover:
-			h.answer(to, controller.HandedOver{From: n.id, Worker: m.Worker, Epoch: m.Epoch})
+			h.deliverInput(to, controller.HandedOver{From: n.id, Worker: m.Worker, Epoch: m.Epoch})
 		case message.ConfigRequest:
-			h.answer(to, controller.Asked{From: n.id, Revision: m.Revision})
+			h.deliverInput(to, controller.Asked{From: n.id, Revision: m.Revision})
 		case message.Config:
-			h.answer(to, controller.Offered{From: n.id, Config: m})
+			h.deliverInput(to, controller.Offered{From: n.id, Config: m})
 		}
 	})
 }
 
 func (h *harness) isCut(a, b string) bool {
-	return h.cuts[[2]string{a, b}] || h.cuts[[2]string{b, a}]
+	return h.cutLinks[[2]string{a, b}] || h.cutLinks[[2]string{b, a}]
 }
 
-// check holds what must be true at every moment.
-func (h *harness) check() {
-	for _, n := range h.nodes {
+// checkInvariants fails the test when a group exceeds its limit or a task runs
+// in two places.
+func (h *harness) checkInvariants() {
+	for _, n := range h.instances {
 		s := n.c.State()
 		if s == nil {
 			continue
 		}
 		for name, g := range s.Groups() {
-			h.most[name] = max(h.most[name], g.Used.Processors)
+			h.maxUsed[name] = max(h.maxUsed[name], g.Used.Processors)
 			if !g.Used.Fits(g.Limit) {
 				h.t.Fatalf("%v: group %s holds %v of %v", h.now.Sub(h.start), name, g.Used, g.Limit)
 			}
@@ -457,27 +459,28 @@
 
 func (h *harness) ledger() worker.Ledger {
 	var all []worker.Ledger
-	for _, id := range keys(h.workers) {
+	for _, id := range sortedKeys(h.workers) {
 		all = append(all, h.workers[id].Ledger())
 	}
 	return worker.Merge(all...)
 }
 
-// settledBy runs until every task has ended on record at every instance.
-func (h *harness) settledBy(limit time.Duration) bool {
+// runUntilSettled advances time until every task has a recorded end at every
+// instance, for at most d.
+func (h *harness) runUntilSettled(limit time.Duration) bool {
 	for end := h.now.Add(limit); h.now.Before(end); {
 		h.run(time.Second)
-		if h.settled() {
+		if h.isSettled() {
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether every submitted task has ended, and every instance
-// knows it.
-func (h *harness) settled() bool {
-	for _, n := range h.nodes {
+// isSettled reports whether every submitted task has ended in the state of
+// every instance.
+func (h *harness) isSettled() bool {
+	for _, n := range h.instances {
 		s := n.c.State()
 		if s == nil {
 			return false
@@ -490,19 +493,19 @@
 			return false
 		}
 	}
-	return len(h.nodes) > 0
+	return len(h.instances) > 0
 }
 
-func (h *harness) any() *node {
-	for _, id := range keys(h.nodes) {
-		if !h.nodes[id].paused {
-			return h.nodes[id]
+func (h *harness) anyRunning() *instance {
+	for _, id := range sortedKeys(h.instances) {
+		if !h.instances[id].paused {
+			return h.instances[id]
 		}
 	}
 	return nil
 }
 
-func tasks(n int, group, command string) []record.Task {
+func newTasks(n int, group, command string) []record.Task {
 	var all []record.Task
 	for i := range n {
 		all = append(all, record.Task{
@@ -513,7 +516,7 @@
 	return all
 }
 
-func keys[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	all := make([]string, 0, len(m))
 	for k := range m {
 		all = append(all, k)
--- a/controller/input.go
+++ b/controller/input.go
@@ -9,14 +9,13 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// Input is something that happened outside the controller.
+// Input is an external event for the controller.
 type Input interface{ input() }
 
-// Tick says that time has passed. It is due every tick interval.
+// Tick signals that time has passed. It is due every tick interval.
 type Tick struct{}
 
-// Read is the answer to a read of the zone stream or the configuration
-// stream.
+// Read is the result of a read of the zone stream or the configuration stream.
 type Read struct {
 	Stream string
 	Sent   time.Time // when the read was sent
@@ -24,13 +23,13 @@
 	Err    error
 }
 
-// Appended is the answer to an Append.
+// Appended is the result of an Append.
 type Appended struct {
 	Stream string
 	Err    error
 }
 
-// Listed is an answer of the instance list.
+// Listed is the result of a read of the instance list.
 type Listed struct {
 	Instances []provider.Instance
 }
@@ -40,7 +39,7 @@
 	Heartbeat member.Heartbeat
 }
 
-// Unlinked says that the link to an instance broke or was refused.
+// Unlinked signals that the link to an instance broke or was refused.
 type Unlinked struct {
 	ID      string
 	Refused bool
@@ -58,14 +57,15 @@
 	Config message.Config
 }
 
-// HandedOver says that a leaving instance transferred a worker's lease here.
+// HandedOver signals that a leaving instance transferred a worker's lease to
+// this one.
 type HandedOver struct {
 	From   string
 	Worker string
 	Epoch  uint64
 }
 
-// Leased is the answer to Acquire, Renew or Transfer.
+// Leased is the answer to an Acquire, Renew or Transfer call.
 type Leased struct {
 	Worker string
 	Verb   Verb
@@ -74,12 +74,13 @@
 	Err    error
 }
 
-// Called is the answer to Start, Stop, Acknowledge, Throttle or Release.
+// Called is the answer to a Start, Stop, Acknowledge, Throttle or Release
+// call.
 type Called struct {
 	Worker  string
 	Verb    Verb
 	Task    string
-	Attempt uint32 // of Start
+	Attempt uint32 // only for Start
 	Sent    time.Time
 	Err     error
 }
@@ -90,21 +91,22 @@
 	Report provider.Report
 }
 
-// Submit asks to queue tasks. It is answered once the stream holds them.
+// Submit requests that tasks are queued. It is answered once the stream holds
+// them.
 type Submit struct {
 	ID    uint64
 	Tasks []record.Task
 }
 
-// Cancel asks to cancel tasks and whole jobs.
+// Cancel requests that tasks and whole jobs are cancelled.
 type Cancel struct {
 	ID    uint64
 	Tasks []string
 	Jobs  []string
 }
 
-// Apply asks to publish a configuration in place of a revision. Anew replaces
-// whatever was in force, for when no instance can tell what that was.
+// Apply requests that a configuration replaces revision Base. Anew replaces
+// whatever is in force, for when no instance can tell what that is.
 type Apply struct {
 	ID       uint64
 	Base     uint64
@@ -113,12 +115,12 @@
 	Anew     bool
 }
 
-// Free is what the traffic side has free, by service, for heartbeats.
+// Free is the number of free request slots by service, for heartbeats.
 type Free struct {
 	Slots map[string]int
 }
 
-// Leave starts a planned stop.
+// Leave starts a planned shutdown.
 type Leave struct{}
 
 func (Tick) input()       {}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -18,7 +18,7 @@
 	)
 }
 
-func (c *Controller) newBook() *lease.Book {
+func (c *Controller) newLeaseBook() *lease.Book {
 	return lease.New(
 		lease.WithHolder(c.self.ID),
 		lease.WithTTL(c.timing.Lease),
@@ -28,41 +28,41 @@
 	)
 }
 
-func (c *Controller) hear(now time.Time, h member.Heartbeat) {
+func (c *Controller) handleHeartbeat(now time.Time, h member.Heartbeat) {
 	switch c.members.Heard(now, h) {
 	case member.Rejected:
 		return
 	case member.Replaced:
-		c.log(Warn, "replaced by a newer run", "incarnation", h.Incarnation)
-		c.leave(now)
+		c.logEvent(Warn, "replaced by a newer run", "incarnation", h.Incarnation)
+		c.handleLeave(now)
 		return
 	}
-	if h.Revision > c.history.Current().Number && c.due(now, "config") {
-		c.do(Send{To: h.ID, Message: message.ConfigRequest{Revision: h.Revision}})
+	if h.Revision > c.revisions.Current().Number && c.allowAction(now, "config") {
+		c.emit(Send{To: h.ID, Message: message.ConfigRequest{Revision: h.Revision}})
 	}
-	c.dirty = true
+	c.routesDirty = true
 }
 
-func (c *Controller) unlink(now time.Time, in Unlinked) {
+func (c *Controller) handleUnlinked(now time.Time, in Unlinked) {
 	if in.Refused {
 		c.members.Lost(now, in.ID)
 	}
 }
 
-// beat sends heartbeats to the members that are due one, and links with all.
-func (c *Controller) beat(now time.Time) {
-	due := c.members.Due(now, c.history.Current().Number)
+// sendHeartbeats sends the heartbeats that are due and updates the links.
+func (c *Controller) sendHeartbeats(now time.Time) {
+	due := c.members.Due(now, c.revisions.Current().Number)
 	if len(due) > 0 {
-		h := c.members.Heartbeat(c.self.Address, c.history.Current().Number, digest(c.history.Current()), c.free)
+		h := c.members.Heartbeat(c.self.Address, c.revisions.Current().Number, formatDigest(c.revisions.Current()), c.freeSlots)
 		for _, id := range due {
-			c.do(Send{To: id, Message: message.Heartbeat(h)})
+			c.emit(Send{To: id, Message: message.Heartbeat(h)})
 		}
 	}
-	c.link()
+	c.updateLinks()
 }
 
-// link says whom to hold links with, when that changed.
-func (c *Controller) link() {
+// updateLinks emits the instances to keep links with when they changed.
+func (c *Controller) updateLinks() {
 	var peers []message.Peer
 	for _, m := range c.members.Members() {
 		if m.ID == c.self.ID || m.Address == "" {
@@ -74,7 +74,7 @@
 		return
 	}
 	c.peers = peers
-	c.do(Link{Peers: peers})
+	c.emit(Link{Peers: peers})
 }
 
 func samePeers(a, b []message.Peer) bool {
@@ -107,76 +107,79 @@
 	return peers
 }
 
-// alive reports whether a run of an instance is believed to be in service.
-func (c *Controller) alive(w record.Writer) bool {
+// isAlive reports whether an incarnation of an instance is considered in
+// service.
+func (c *Controller) isAlive(writer record.Writer) bool {
 	for _, m := range c.members.Members() {
-		if m.ID != w.ID {
+		if m.ID != writer.ID {
 			continue
 		}
 		if m.State == member.Dead || m.State == member.Left || m.State == member.Unknown {
 			return false
 		}
-		return m.Incarnation == 0 || m.Incarnation == w.Incarnation
+		return m.Incarnation == 0 || m.Incarnation == writer.Incarnation
 	}
 	return false
 }
 
-// leave starts a planned stop: no new work is taken, and the workers go to
-// the instances that should own them without this one.
-func (c *Controller) leave(now time.Time) {
+// handleLeave starts a planned shutdown: the instance takes no new work and
+// hands its workers to the instances that should own them without it.
+func (c *Controller) handleLeave(now time.Time) {
 	if c.leaving {
 		return
 	}
 	c.leaving = true
-	c.dirty = true
+	c.routesDirty = true
 	c.members.Leave()
-	c.tick(now)
+	c.handleTick(now)
 }
 
-// returnUnstarted gives back the escrowed tasks that are on no worker, those
-// of claims that were under way when the stop began included.
-func (c *Controller) returnUnstarted() {
+// returnUnstartedTasks returns the escrowed tasks that are assigned to no
+// worker, including those of claims that were in flight when the shutdown
+// began.
+func (c *Controller) returnUnstartedTasks() {
 	if !c.leaving {
 		return
 	}
 	for t := range c.State().Escrow(c.self.ID) {
-		a := attemptOf(t)
-		if c.mine(t) && c.placed[a] == nil {
-			c.endAttempt(a, record.Record{Return: &record.Return{Tasks: []string{t.ID}}})
+		attempt := attemptOf(t)
+		if c.isOwnEscrow(t) && c.workerByAttempt[attempt] == nil {
+			c.appendAttemptEnd(attempt, record.Record{Return: &record.Return{Tasks: []string{t.ID}}})
 		}
 	}
 }
 
-// lastInstance reports whether this instance is leaving and nobody of its
-// zone is left to take its workers. It keeps them then: their tasks go on
-// until the task leases end, and whoever comes in time adopts them.
-func (c *Controller) lastInstance() bool {
-	return c.leaving && len(c.others()) == 0
+// isLastInstance reports whether this instance is leaving and its zone has no
+// other instance to take the workers. It then keeps them: their tasks run on
+// until the task leases end, and an instance that starts before that adopts
+// them.
+func (c *Controller) isLastInstance() bool {
+	return c.leaving && len(c.otherInstances()) == 0
 }
 
-// finishLeaving reports the end of a planned stop once nothing is held and
-// all that was written has been read back.
+// finishLeaving emits Left once no worker is held and all written records have
+// been read back.
 func (c *Controller) finishLeaving(now time.Time) {
-	if !c.leaving || c.left || c.out.Waiting() > 0 {
+	if !c.leaving || c.left || c.appender.Waiting() > 0 {
 		return
 	}
-	if c.lastInstance() {
+	if c.isLastInstance() {
 		c.left = true
-		c.do(Left{At: now})
+		c.emit(Left{At: now})
 		return
 	}
-	for _, h := range c.holdings {
-		if h.phase != unowned {
+	for _, w := range c.workers {
+		if w.phase != unowned {
 			return
 		}
 	}
 	if c.State() != nil {
 		for t := range c.State().Escrow(c.self.ID) {
-			if c.mine(t) {
+			if c.isOwnEscrow(t) {
 				return
 			}
 		}
 	}
 	c.left = true
-	c.do(Left{At: now})
+	c.emit(Left{At: now})
 }
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -8,50 +8,50 @@
 	"github.com/dogwoodladder/dogwoodladder/controller"
 )
 
-const schedules = 150
+const scheduleCount = 150
 
-// TestRandomFaults plays schedules of random faults: instances killed,
-// paused, replaced and leaving, cuts between any two, log outages, lost
-// answers and dead workers, often several at once. Then all heals, and every
-// task has to end. The seeds are fixed.
+// TestRandomFaults runs schedules of random faults: instances killed, paused,
+// replaced and leaving, links cut, log outages, lost answers and stalled
+// workers, often several at once. Then all faults are healed, and every task
+// must end. The seeds are fixed.
 func TestRandomFaults(t *testing.T) {
-	for seed := range uint64(schedules) {
+	for seed := range uint64(scheduleCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playRandom(t, seed)
+			runRandomSchedule(t, seed)
 		})
 	}
-	t.Logf("%d schedules", schedules)
+	t.Logf("%d schedules", scheduleCount)
 }
 
-func playRandom(t *testing.T, seed uint64) {
+func runRandomSchedule(t *testing.T, seed uint64) {
 	h := newHarness(t, seed, 3, 5)
 	h.run(3 * time.Second)
-	h.feed(h.nodes["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
+	h.feed(h.instances["e0"], controller.Apply{ID: 1, Author: "ann", Manifest: []byte(testManifest)})
 	h.run(2 * time.Second)
-	h.perform("submit", []string{"e1", "20", "red", "sleep", "25s"})
-	h.perform("submit", []string{"e2", "20", "blue", "sleep", "9s"})
+	h.runCommand("submit", []string{"e1", "20", "red", "sleep", "25s"})
+	h.runCommand("submit", []string{"e2", "20", "blue", "sleep", "9s"})
 	h.run(time.Second)
 	for range 12 {
-		h.strike()
+		h.injectRandomFault()
 		h.run(time.Duration(h.rand.IntN(12000)) * time.Millisecond / step * step)
 	}
-	h.heal()
-	h.run(time.Minute) // planned stops end
-	h.heal()
-	if !h.settledBy(5 * time.Minute) {
-		t.Fatalf("tasks left over:\n%s", h.any().c.Dump(h.now))
+	h.healAll()
+	h.run(time.Minute) // lets planned shutdowns finish
+	h.healAll()
+	if !h.runUntilSettled(5 * time.Minute) {
+		t.Fatalf("tasks left over:\n%s", h.anyRunning().c.Dump(h.now))
 	}
-	once(t, h)
+	checkRunsOnce(t, h)
 }
 
-// strike causes one random fault, or ends one.
-func (h *harness) strike() {
+// injectRandomFault causes or ends one random fault.
+func (h *harness) injectRandomFault() {
 	id := fmt.Sprintf("e%d", h.rand.IntN(3))
-	n, up := h.nodes[id]
+	n, up := h.instances[id]
 	switch h.rand.IntN(12) {
 	case 0:
-		delete(h.nodes, id)
+		delete(h.instances, id)
 	case 1, 2:
 		if !up {
 			h.boot(id)
@@ -67,15 +67,15 @@
 	case 5:
 		h.logDown = !h.logDown
 	case 6:
-		h.cuts[[2]string{id, h.target()}] = true
+		h.cutLinks[[2]string{id, h.randomEndpoint()}] = true
 	case 7:
-		clear(h.cuts)
+		clear(h.cutLinks)
 	case 8:
-		h.lose = float64(h.rand.IntN(2)) * 0.3
+		h.answerLoss = float64(h.rand.IntN(2)) * 0.3
 	case 9:
-		h.stalled[fmt.Sprintf("w%d", h.rand.IntN(5))] = true
+		h.stalledWorkers[fmt.Sprintf("w%d", h.rand.IntN(5))] = true
 	case 10:
-		clear(h.stalled)
+		clear(h.stalledWorkers)
 	case 11:
 		if up && !n.paused {
 			h.feed(n, controller.Leave{})
@@ -83,19 +83,19 @@
 	}
 }
 
-// target returns what an instance may be cut from.
-func (h *harness) target() string {
-	all := append([]string{theLog, "e0", "e1", "e2"}, keys(h.workers)...)
+// randomEndpoint returns the other end of a link to cut from an instance.
+func (h *harness) randomEndpoint() string {
+	all := append([]string{logEndpoint, "e0", "e1", "e2"}, sortedKeys(h.workers)...)
 	return all[h.rand.IntN(len(all))]
 }
 
-func (h *harness) heal() {
-	clear(h.cuts)
-	clear(h.stalled)
-	h.lose = 0
+func (h *harness) healAll() {
+	clear(h.cutLinks)
+	clear(h.stalledWorkers)
+	h.answerLoss = 0
 	h.logDown = false
 	for _, id := range []string{"e0", "e1", "e2"} {
-		if n, ok := h.nodes[id]; ok {
+		if n, ok := h.instances[id]; ok {
 			n.paused = false
 			continue
 		}
--- a/controller/service.go
+++ b/controller/service.go
@@ -16,29 +16,30 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// minDrain is the least time between taking a replica out of the routing
-// table and stopping it.
+// minDrain is the minimum time between the removal of a replica from the
+// routing table and its stop.
 const minDrain = 2 * time.Second
 
-// planKey tells whether the plan of replicas is out of date.
+// planKey identifies the inputs of the replica plan, to detect that the plan
+// is out of date.
 type planKey struct {
 	revision uint64
 	workers  string
 }
 
-// replicaID returns the task ID of a service's replica on a worker. It names
-// the worker, so that no two workers ever run the same task.
+// replicaID returns the task ID of a service's replica on a worker. It
+// contains the worker's ID, so that no two workers ever run the same task.
 func replicaID(service, worker string) string {
 	return service + "/" + worker
 }
 
-// replan computes which workers run which replicas, when that may have changed.
-func (c *Controller) replan() {
+// updatePlan recomputes the replica plan when its inputs changed.
+func (c *Controller) updatePlan() {
 	if c.manifest == nil {
 		return
 	}
-	workers, key := c.candidates()
-	if c.plan != nil && key == c.planned {
+	workers, key := c.replicaWorkers()
+	if c.plan != nil && key == c.planInputs {
 		return
 	}
 	var services []replica.Service
@@ -46,18 +47,19 @@
 		services = append(services, replica.Service{Name: s.Name, Replicas: s.Replicas, Need: s.Need})
 	}
 	c.plan = replica.New(services, workers)
-	c.planned = key
-	c.dirty = true
+	c.planInputs = key
+	c.routesDirty = true
 	for name, n := range c.plan.Short() {
-		c.log(Warn, "no room for replicas", "service", name, "missing", n)
+		c.logEvent(Warn, "no room for replicas", "service", name, "missing", n)
 	}
 }
 
-// candidates returns the zone's workers that replicas may be planned on.
-func (c *Controller) candidates() ([]replica.Worker, planKey) {
+// replicaWorkers returns the zone's workers that can run replicas, and the key
+// of the plan's inputs.
+func (c *Controller) replicaWorkers() ([]replica.Worker, planKey) {
 	var workers []replica.Worker
 	var b strings.Builder
-	for _, in := range c.listed {
+	for _, in := range c.instances {
 		if in.Role != provider.RoleWorker || in.AvailabilityZone != c.self.AvailabilityZone || in.Status == provider.StatusLeaving {
 			continue
 		}
@@ -68,81 +70,83 @@
 		b.WriteString(strconv.FormatInt(in.Capacity.Processors, 36))
 		b.WriteByte(' ')
 	}
-	return workers, planKey{c.history.Current().Number, b.String()}
+	return workers, planKey{c.revisions.Current().Number, b.String()}
 }
 
-// placeReplicas starts planned replicas on owned workers and stops others.
-func (c *Controller) placeReplicas(now time.Time) {
-	c.replan()
+// reconcileReplicas starts planned replicas on owned workers, drains the
+// others, and evicts batch tasks from leaving workers.
+func (c *Controller) reconcileReplicas(now time.Time) {
+	c.updatePlan()
 	if c.plan == nil {
 		return
 	}
-	for _, h := range c.sorted() {
-		if h.phase != granted && h.phase != adopted {
+	for _, w := range c.sortedWorkers() {
+		if w.phase != granted && w.phase != adopted {
 			continue
 		}
-		if _, _, ok := c.book.Valid(now, h.id); !ok {
+		if _, _, ok := c.leases.Valid(now, w.id); !ok {
 			continue
 		}
-		c.fitReplicas(now, h)
-		c.leaveWorker(h)
+		c.reconcileWorkerReplicas(now, w)
+		c.evictFromLeaving(w)
 	}
 }
 
-// fitReplicas brings the replicas on a worker in line with the plan.
-func (c *Controller) fitReplicas(now time.Time, h *holding) {
+// reconcileWorkerReplicas brings the replicas on a worker in line with the
+// plan.
+func (c *Controller) reconcileWorkerReplicas(now time.Time, w *worker) {
 	planned := make(map[string]bool)
-	for _, name := range c.plan.Worker(h.id) {
-		planned[name] = !h.leaving
+	for _, name := range c.plan.Worker(w.id) {
+		planned[name] = !w.leaving
 	}
-	c.drainReplicas(now, h, planned)
+	c.drainReplicas(now, w, planned)
 	for _, s := range c.manifest.Services {
-		if !planned[s.Name] || h.replicas[s.Name] != nil {
+		if !planned[s.Name] || w.replicas[s.Name] != nil {
 			continue
 		}
-		if !s.Need.Fits(h.capacity.Sub(h.used())) {
-			c.makeRoom(h, s.Need)
+		if !s.Need.Fits(w.capacity.Sub(w.used())) {
+			c.evictForReplica(w, s.Need)
 			continue
 		}
-		c.startReplica(h, s)
+		c.startReplica(w, s)
 	}
 }
 
-// drainReplicas takes replicas that aren't planned any more, or not as they
-// are, out of the routing table, and stops them once their requests have
+// drainReplicas removes replicas from the routing table that aren't planned
+// any more or run an outdated version, and stops them once their requests have
 // ended. Of a changed service one replica at a time is replaced.
-func (c *Controller) drainReplicas(now time.Time, h *holding, planned map[string]bool) {
-	for _, p := range sortedAssignments(h.replicas) {
-		s, declared := c.service(p.service)
-		wanted := planned[p.service] && declared
+func (c *Controller) drainReplicas(now time.Time, w *worker, planned map[string]bool) {
+	for _, a := range sortedAssignments(w.replicas) {
+		s, declared := c.findService(a.service)
+		wanted := planned[a.service] && declared
 		switch {
-		case p.stage == draining && wanted && p.attempt == version(s):
-			p.stage = running
-			c.dirty = true
-		case p.stage == draining && !now.Before(p.until):
-			p.stage = stopping
-			c.call(h, Call{Verb: Stop, Epoch: h.epoch, Task: p.id})
-		case p.stage != running:
-		case !wanted || p.attempt != version(s) && !c.replacing(p.service):
-			p.stage = draining
-			p.until = now.Add(max(s.Timeout, minDrain))
-			c.dirty = true
+		case a.stage == draining && wanted && a.attempt == serviceVersion(s):
+			a.stage = running
+			c.routesDirty = true
+		case a.stage == draining && !now.Before(a.drainUntil):
+			a.stage = stopping
+			c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: a.id})
+		case a.stage != running:
+		case !wanted || a.attempt != serviceVersion(s) && !c.isReplacing(a.service):
+			a.stage = draining
+			a.drainUntil = now.Add(max(s.Timeout, minDrain))
+			c.routesDirty = true
 		}
 	}
 }
 
-// replacing reports whether a replica of a service is being replaced on an
+// isReplacing reports whether a replica of a service is being replaced on an
 // owned worker.
-func (c *Controller) replacing(service string) bool {
-	for _, h := range c.holdings {
-		if p := h.replicas[service]; p != nil && p.stage != running {
+func (c *Controller) isReplacing(service string) bool {
+	for _, w := range c.workers {
+		if a := w.replicas[service]; a != nil && a.stage != running {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Controller) service(name string) (manifest.Service, bool) {
+func (c *Controller) findService(name string) (manifest.Service, bool) {
 	for _, s := range c.manifest.Services {
 		if s.Name == name {
 			return s, true
@@ -151,145 +155,148 @@
 	return manifest.Service{}, false
 }
 
-// version numbers what a replica of a service runs. It is the attempt of the
-// replica's task, so that whoever owns the worker can tell an outdated one.
-func version(s manifest.Service) uint32 {
+// serviceVersion returns a hash of what a replica of a service runs. It is the
+// attempt number of the replica's task, so that any owner of the worker can
+// detect an outdated replica.
+func serviceVersion(s manifest.Service) uint32 {
 	text := fmt.Sprint(s.Need, s.Slots, s.Command)
 	return uint32(xxhash.Sum64String(text)>>1) | 1
 }
 
-func (c *Controller) startReplica(h *holding, s manifest.Service) {
+func (c *Controller) startReplica(w *worker, s manifest.Service) {
 	spec := provider.TaskSpec{
-		ID:      replicaID(s.Name, h.id),
+		ID:      replicaID(s.Name, w.id),
 		Kind:    provider.KindService,
 		Group:   s.Group,
-		Attempt: version(s),
+		Attempt: serviceVersion(s),
 		Need:    s.Need,
 		Command: s.Command,
 		Slots:   s.Slots,
 	}
-	h.replicas[s.Name] = &assignment{id: spec.ID, service: s.Name, attempt: spec.Attempt, need: s.Need, spec: spec}
-	c.call(h, Call{Verb: Start, Epoch: h.epoch, Spec: spec})
+	w.replicas[s.Name] = &assignment{id: spec.ID, service: s.Name, attempt: spec.Attempt, need: s.Need, spec: spec}
+	c.enqueueCall(w, Call{Verb: Start, Epoch: w.epoch, Spec: spec})
 }
 
-// makeRoom evicts the batch tasks that stand in a planned replica's way, the
-// youngest attempts first.
-func (c *Controller) makeRoom(h *holding, need resource.Vector) {
-	if h.phase != adopted {
+// evictForReplica evicts batch tasks, in order of their IDs, until a planned
+// replica fits the worker.
+func (c *Controller) evictForReplica(w *worker, need resource.Vector) {
+	if w.phase != adopted {
 		return
 	}
-	free := h.capacity.Sub(h.used())
-	victims := sortedAssignments(h.tasks)
-	for _, p := range victims {
-		if p.stage == stopping {
-			free = free.Add(p.need)
+	free := w.capacity.Sub(w.used())
+	victims := sortedAssignments(w.tasks)
+	for _, a := range victims {
+		if a.stage == stopping {
+			free = free.Add(a.need)
 		}
 	}
-	for _, p := range victims {
+	for _, a := range victims {
 		if need.Fits(free) {
 			return
 		}
-		if p.stage != running {
+		if a.stage != running {
 			continue
 		}
-		p.stage = stopping
-		free = free.Add(p.need)
-		c.log(Info, "evict for replica", "worker", h.id, "task", p.id)
-		c.call(h, Call{Verb: Stop, Epoch: h.epoch, Task: p.id, Checkpoint: true})
+		a.stage = stopping
+		free = free.Add(a.need)
+		c.logEvent(Info, "evict for replica", "worker", w.id, "task", a.id)
+		c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: a.id, Checkpoint: true})
 	}
 }
 
-// leaveWorker evicts the batch tasks of a worker that is leaving, so that
-// they go on elsewhere from a checkpoint.
-func (c *Controller) leaveWorker(h *holding) {
-	if !h.leaving || h.phase != adopted {
+// evictFromLeaving evicts the batch tasks of a leaving worker, so that they
+// continue elsewhere from a checkpoint.
+func (c *Controller) evictFromLeaving(w *worker) {
+	if !w.leaving || w.phase != adopted {
 		return
 	}
-	for _, p := range sortedAssignments(h.tasks) {
-		if p.stage == running {
-			p.stage = stopping
-			c.call(h, Call{Verb: Stop, Epoch: h.epoch, Task: p.id, Checkpoint: true})
+	for _, a := range sortedAssignments(w.tasks) {
+		if a.stage == running {
+			a.stage = stopping
+			c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: a.id, Checkpoint: true})
 		}
 	}
 }
 
-// seeReplicas brings the known replicas in line with what the worker holds.
-func (c *Controller) seeReplicas(h *holding, tasks []provider.Running) {
+// syncReplicas updates the known replicas from the list of tasks that the
+// worker holds.
+func (c *Controller) syncReplicas(w *worker, tasks []provider.Running) {
 	held := make(map[string]bool)
 	for _, t := range tasks {
-		name, ok := c.serviceOf(h, t)
+		name, ok := c.replicaService(w, t)
 		if !ok {
 			continue
 		}
 		if t.State != provider.TaskRunning {
-			c.call(h, Call{Verb: Acknowledge, Epoch: h.epoch, Tasks: []string{t.ID}})
+			c.enqueueCall(w, Call{Verb: Acknowledge, Epoch: w.epoch, Tasks: []string{t.ID}})
 			continue
 		}
 		held[name] = true
-		p, ok := h.replicas[name]
+		a, ok := w.replicas[name]
 		if !ok {
-			p = &assignment{id: t.ID, service: name, attempt: t.Attempt, need: t.Need}
-			h.replicas[name] = p
+			a = &assignment{id: t.ID, service: name, attempt: t.Attempt, need: t.Need}
+			w.replicas[name] = a
 		}
-		if p.stage == starting {
-			p.stage = running
+		if a.stage == starting {
+			a.stage = running
 		}
 	}
-	for name, p := range h.replicas {
-		if !held[name] && p.stage != starting {
-			delete(h.replicas, name)
-			c.dirty = true
+	for name, a := range w.replicas {
+		if !held[name] && a.stage != starting {
+			delete(w.replicas, name)
+			c.routesDirty = true
 		}
 	}
 }
 
-func (c *Controller) serviceOf(h *holding, t provider.Running) (string, bool) {
+func (c *Controller) replicaService(w *worker, t provider.Running) (string, bool) {
 	if t.Kind != provider.KindService {
 		return "", false
 	}
-	return strings.CutSuffix(t.ID, "/"+h.id)
+	return strings.CutSuffix(t.ID, "/"+w.id)
 }
 
-// startedReplica takes the answer to the start of a replica. One that failed
-// is tried again.
-func (c *Controller) startedReplica(h *holding, in Called) {
-	for name, p := range h.replicas {
-		if p.id != in.Task || p.stage != starting {
+// handleReplicaStarted handles the answer to the start of a replica. A failed
+// start is retried by the next reconciliation.
+func (c *Controller) handleReplicaStarted(w *worker, in Called) {
+	for name, a := range w.replicas {
+		if a.id != in.Task || a.stage != starting {
 			continue
 		}
 		if in.Err != nil {
-			delete(h.replicas, name)
+			delete(w.replicas, name)
 			continue
 		}
-		p.stage = running
-		c.dirty = true
+		a.stage = running
+		c.routesDirty = true
 	}
 }
 
-// reservedBeside returns what planned replicas need that don't run yet.
-func (c *Controller) reservedBeside(h *holding) resource.Vector {
+// pendingReplicaNeed returns the need of the planned replicas that don't run
+// yet.
+func (c *Controller) pendingReplicaNeed(w *worker) resource.Vector {
 	var sum resource.Vector
 	if c.plan == nil {
 		return sum
 	}
 	for _, s := range c.manifest.Services {
-		if h.replicas[s.Name] == nil && slices.Contains(c.plan.Worker(h.id), s.Name) {
+		if w.replicas[s.Name] == nil && slices.Contains(c.plan.Worker(w.id), s.Name) {
 			sum = sum.Add(s.Need)
 		}
 	}
 	return sum
 }
 
-// publish hands traffic a routing table when something in it changed.
-func (c *Controller) publish(now time.Time) {
-	if !c.dirty || c.manifest == nil {
+// publishRoutes emits a new routing table when something in it changed.
+func (c *Controller) publishRoutes(now time.Time) {
+	if !c.routesDirty || c.manifest == nil {
 		return
 	}
-	c.dirty = false
+	c.routesDirty = false
 	t := &route.Table{
 		Instance:         c.self.ID,
 		AvailabilityZone: c.self.AvailabilityZone,
-		Revision:         c.history.Current().Number,
+		Revision:         c.revisions.Current().Number,
 		Leaving:          c.leaving,
 		Services:         make(map[string]route.Service),
 		Backends:         make(map[string][]route.Backend),
@@ -299,31 +306,31 @@
 		t.Services[s.Name] = route.Service{
 			Name:       s.Name,
 			Group:      s.Group,
-			Weight:     c.weight(s.Group),
+			Weight:     c.groupWeight(s.Group),
 			Timeout:    s.Timeout,
 			Idempotent: s.Idempotent,
 			Queue:      s.Queue,
 		}
 	}
-	for _, h := range c.sorted() {
-		c.addBackends(now, t, h)
+	for _, w := range c.sortedWorkers() {
+		c.addBackends(now, t, w)
 	}
-	c.do(Publish{Table: t})
+	c.emit(Publish{Table: t})
 }
 
-func (c *Controller) addBackends(now time.Time, t *route.Table, h *holding) {
-	epoch, until, ok := c.book.Valid(now, h.id)
-	if !ok || h.leaving || (h.phase != granted && h.phase != adopted) {
+func (c *Controller) addBackends(now time.Time, t *route.Table, w *worker) {
+	epoch, until, ok := c.leases.Valid(now, w.id)
+	if !ok || w.leaving || (w.phase != granted && w.phase != adopted) {
 		return
 	}
 	for _, s := range c.manifest.Services {
-		p := h.replicas[s.Name]
-		if p == nil || p.stage != running {
+		a := w.replicas[s.Name]
+		if a == nil || a.stage != running {
 			continue
 		}
 		t.Backends[s.Name] = append(t.Backends[s.Name], route.Backend{
-			Worker:           h.id,
-			Address:          h.address,
+			Worker:           w.id,
+			Address:          w.address,
 			AvailabilityZone: c.self.AvailabilityZone,
 			Epoch:            epoch,
 			Until:            until,
@@ -332,8 +339,8 @@
 	}
 }
 
-// weight returns a group's part of shared slots.
-func (c *Controller) weight(group string) float64 {
+// groupWeight returns a group's weight in the sharing of slots.
+func (c *Controller) groupWeight(group string) float64 {
 	for _, g := range c.manifest.Groups {
 		if g.Name == group {
 			return max(float64(g.Share.In(c.self.AvailabilityZone).Processors), 1)
--- a/controller/status.go
+++ b/controller/status.go
@@ -10,20 +10,19 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// Bounds on what Status and Dump list.
 const (
-	maxListed = 500
+	maxListed = 500 // entries of one kind in Status and Dump
 )
 
-// Status is what an operator sees of an instance and its zone.
+// Status is the operator's view of an instance and its zone.
 type Status struct {
 	Instance         string          `json:"instance"`
 	AvailabilityZone string          `json:"zone"`
 	Revision         uint64          `json:"revision"`
 	Ready            bool            `json:"ready"`
-	Behind           string          `json:"behind"` // since the log's tail was read
+	Behind           string          `json:"behind"` // time since the log's tail was read
 	Isolated         bool            `json:"isolated"`
-	Waiting          int             `json:"waiting"` // records not read back yet
+	Waiting          int             `json:"waiting"` // own records not yet read back
 	Groups           []GroupStatus   `json:"groups"`
 	Workers          []WorkerStatus  `json:"workers"`
 	Members          []member.Member `json:"members"`
@@ -31,7 +30,7 @@
 	Recovering       []string        `json:"recovering,omitempty"` // fenced instances whose tasks aren't settled
 }
 
-// GroupStatus is a group's batch work in the zone.
+// GroupStatus summarizes a group's batch work in the zone.
 type GroupStatus struct {
 	Name  string     `json:"name"`
 	Group zone.Group `json:"group"`
@@ -56,20 +55,20 @@
 	Reason string `json:"reason"`
 }
 
-// Status returns what an operator sees.
+// Status returns the operator's view of this instance and its zone.
 func (c *Controller) Status(now time.Time) Status {
 	s := Status{
 		Instance:         c.self.ID,
 		AvailabilityZone: c.self.AvailabilityZone,
-		Revision:         c.history.Current().Number,
-		Ready:            c.follow.Ready(),
-		Behind:           now.Sub(c.follow.Tail()).Round(time.Millisecond).String(),
+		Revision:         c.revisions.Current().Number,
+		Ready:            c.follower.Ready(),
+		Behind:           now.Sub(c.follower.Tail()).Round(time.Millisecond).String(),
 		Isolated:         c.members.Isolated(),
-		Waiting:          c.out.Waiting(),
+		Waiting:          c.appender.Waiting(),
 		Members:          c.members.Members(),
 	}
-	for _, h := range c.sorted() {
-		s.Workers = append(s.Workers, c.workerStatus(h))
+	for _, w := range c.sortedWorkers() {
+		s.Workers = append(s.Workers, c.workerStatus(w))
 	}
 	if c.State() == nil {
 		return s
@@ -88,52 +87,52 @@
 	return s
 }
 
-func (c *Controller) workerStatus(h *holding) WorkerStatus {
-	w := WorkerStatus{
-		ID:       h.id,
-		Epoch:    h.epoch,
-		Owned:    h.phase == granted || h.phase == adopted,
-		Capacity: h.capacity,
-		Used:     h.used(),
-		Tasks:    len(h.tasks),
-		Replicas: len(h.replicas),
+func (c *Controller) workerStatus(w *worker) WorkerStatus {
+	status := WorkerStatus{
+		ID:       w.id,
+		Epoch:    w.epoch,
+		Owned:    w.phase == granted || w.phase == adopted,
+		Capacity: w.capacity,
+		Used:     w.used(),
+		Tasks:    len(w.tasks),
+		Replicas: len(w.replicas),
 	}
 	if c.State() == nil {
-		return w
+		return status
 	}
-	if known, ok := c.State().Worker(h.id); ok {
-		w.Owner = known.Owner
-		w.Quarantined = known.Quarantined
+	if known, ok := c.State().Worker(w.id); ok {
+		status.Owner = known.Owner
+		status.Quarantined = known.Quarantined
 	}
-	return w
+	return status
 }
 
 // Revision returns the configuration revision in force here.
 func (c *Controller) Revision() uint64 {
-	return c.history.Current().Number
+	return c.revisions.Current().Number
 }
 
 // Manifest returns the configuration in force here.
 func (c *Controller) Manifest() ([]byte, uint64) {
-	return c.history.Current().Manifest, c.history.Current().Number
+	return c.revisions.Current().Manifest, c.revisions.Current().Number
 }
 
-// Missing returns the instances that aren't known to hold a revision.
+// Missing returns the instances that aren't known to have a revision.
 func (c *Controller) Missing(revision uint64) []string {
-	if c.history.Current().Number < revision {
+	if c.revisions.Current().Number < revision {
 		return append(c.members.Missing(revision), c.self.ID)
 	}
 	return c.members.Missing(revision)
 }
 
-// Dump returns the controller's state as readable text.
+// Dump returns the controller's state as human-readable text.
 func (c *Controller) Dump(now time.Time) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# instance\nid=%s zone=%s incarnation=%d revision=%d leaving=%v\n",
-		c.self.ID, c.self.AvailabilityZone, c.self.Incarnation, c.history.Current().Number, c.leaving)
+		c.self.ID, c.self.AvailabilityZone, c.self.Incarnation, c.revisions.Current().Number, c.leaving)
 	fmt.Fprintf(&b, "ready=%v next=%d behind=%v waiting=%d damaged=%d gaps=%d newer=%d\n",
-		c.follow.Ready(), c.follow.Next(), now.Sub(c.follow.Tail()).Round(time.Millisecond), c.out.Waiting(),
-		c.follow.Damaged(), c.follow.Gaps(), c.follow.Newer())
+		c.follower.Ready(), c.follower.Next(), now.Sub(c.follower.Tail()).Round(time.Millisecond), c.appender.Waiting(),
+		c.follower.Damaged(), c.follower.Gaps(), c.follower.Newer())
 	c.dumpMembers(&b, now)
 	c.dumpHoldings(&b, now)
 	if c.State() != nil {
@@ -152,16 +151,16 @@
 
 func (c *Controller) dumpHoldings(b *strings.Builder, now time.Time) {
 	b.WriteString("\n# workers\n")
-	for _, h := range c.sorted() {
-		_, until, ok := c.book.Valid(now, h.id)
+	for _, w := range c.sortedWorkers() {
+		_, until, ok := c.leases.Valid(now, w.id)
 		fmt.Fprintf(b, "id=%s phase=%v epoch=%d valid=%v for=%v tasks=%d replicas=%d used=%q busy=%v calls=%d\n",
-			h.id, h.phase, h.epoch, ok, until.Sub(now).Round(time.Millisecond), len(h.tasks), len(h.replicas), h.used(), h.busy, len(h.queue))
-		for i, p := range sortedAssignments(h.tasks) {
+			w.id, w.phase, w.epoch, ok, until.Sub(now).Round(time.Millisecond), len(w.tasks), len(w.replicas), w.used(), w.callInFlight, len(w.callQueue))
+		for i, a := range sortedAssignments(w.tasks) {
 			if i == maxListed {
-				fmt.Fprintf(b, "  and %d more\n", len(h.tasks)-i)
+				fmt.Fprintf(b, "  and %d more\n", len(w.tasks)-i)
 				break
 			}
-			fmt.Fprintf(b, "  task=%s attempt=%d stage=%v checkpoint=%q\n", p.id, p.attempt, p.stage, p.spec.Checkpoint)
+			fmt.Fprintf(b, "  task=%s attempt=%d stage=%v checkpoint=%q\n", a.id, a.attempt, a.stage, a.spec.Checkpoint)
 		}
 	}
 }
--- a/controller/stream.go
+++ b/controller/stream.go
@@ -11,99 +11,96 @@
 )
 
 const (
-	repropose = 3 * time.Second // before an idempotent proposal is made again
-	submitMax = 200             // tasks in one Submit record
+	reproposeInterval = 3 * time.Second // before an idempotent proposal is made again
+	maxSubmitTasks    = 200             // tasks in one Submit record
 
-	parkAfter    = time.Minute      // before a queued task that fits nowhere is parked
+	parkAfter    = time.Minute      // queue time after which a task that can't run in this zone is parked
 	recoverAfter = 10 * time.Second // before lost state is recovered
 )
 
-// Next returns the offset to read a stream from.
+// Next returns the offset from which to read a stream.
 func (c *Controller) Next(stream string) uint64 {
 	if stream == ConfigStream {
-		return c.history.Next()
+		return c.revisions.Next()
 	}
-	return c.follow.Next()
+	return c.follower.Next()
 }
 
-func (c *Controller) read(now time.Time, in Read) {
+func (c *Controller) handleRead(now time.Time, in Read) {
 	if in.Stream == ConfigStream {
-		c.readConfig(now, in)
+		c.handleConfigRead(now, in)
 		return
 	}
-	if in.Err != nil && in.Page.Oldest <= c.follow.Next() {
+	if in.Err != nil && in.Page.Oldest <= c.follower.Next() {
 		return
 	}
-	applied := c.follow.Feed(now, in.Sent, in.Page)
+	applied := c.follower.Feed(now, in.Sent, in.Page)
 	if c.State() == nil {
-		c.passed(now, in.Page.Entries)
+		c.handleUnappliedEntries(now, in.Page.Entries)
 	}
 	for _, a := range applied {
-		c.folded(now, a)
+		c.handleApplied(now, a)
 	}
-	c.checkFence(now)
-	c.announce(now)
+	c.restartIfFenced(now)
+	c.appendFirstRecord(now)
 	c.recoverState(now)
-	if len(applied) > 0 && c.follow.Ready() {
-		c.startEscrow(now)
+	if len(applied) > 0 && c.follower.Ready() {
+		c.startEscrowedTasks(now)
 	}
-	c.flush(now)
+	c.flushAppends(now)
 }
 
-// passed takes note of own records that went by while there is no state to
-// fold them into.
-//
-// What goes wrong: the appender waits for them to be read back, and the
-// recovery snapshot that would bring a state waits behind them. One would
-// notice that no instance ever gets ready. What they said is due again once
-// there is a state.
-func (c *Controller) passed(now time.Time, entries []provider.Entry) {
+// handleUnappliedEntries marks own records as read back while there is no
+// state to apply them to. Otherwise the appender would wait for them, the
+// recovery snapshot would wait behind them, and no instance would ever become
+// ready. Their content is proposed again once there is a state.
+func (c *Controller) handleUnappliedEntries(now time.Time, entries []provider.Entry) {
 	for _, e := range entries {
 		r, err := record.Decode(e.Data)
 		if err != nil || r.Writer != c.writer() {
 			continue
 		}
-		c.out.Folded(now, r.Sequence)
-		c.forgetReport(r)
-		c.forgetClaim(r)
-		c.forgetOwn(r)
+		c.appender.Folded(now, r.Sequence)
+		c.clearPendingEnds(r)
+		c.clearPendingClaim(r)
+		c.clearPendingOwn(r)
 	}
 }
 
-// forgetOwn notes that an Own record of ours isn't under way any more.
-func (c *Controller) forgetOwn(r record.Record) {
+// clearPendingOwn marks an Own record of this instance as no longer in flight.
+func (c *Controller) clearPendingOwn(r record.Record) {
 	if r.Own == nil {
 		return
 	}
-	if h, ok := c.holdings[r.Own.Worker]; ok && h.recorded == r.Sequence {
-		h.recorded = 0
+	if w, ok := c.workers[r.Own.Worker]; ok && w.ownSequence == r.Sequence {
+		w.ownSequence = 0
 	}
 }
 
-// folded follows up one record.
-func (c *Controller) folded(now time.Time, a follower.Applied) {
+// handleApplied acts on one applied record.
+func (c *Controller) handleApplied(now time.Time, a follower.Applied) {
 	if a.Record.Writer == c.writer() {
-		c.out.Folded(now, a.Record.Sequence)
-		c.forgetReport(a.Record)
-		c.forgetClaim(a.Record)
-		c.forgetOwn(a.Record)
+		c.appender.Folded(now, a.Record.Sequence)
+		c.clearPendingEnds(a.Record)
+		c.clearPendingClaim(a.Record)
+		c.clearPendingOwn(a.Record)
 		c.answerCommand(now, a)
 	}
 	if a.Outcome.Effect == zone.Void {
-		c.log(Debug, "void", "offset", a.Offset, "reason", a.Outcome.Reason.String(), "writer", a.Record.Writer.ID)
+		c.logEvent(Debug, "void", "offset", a.Offset, "reason", a.Outcome.Reason.String(), "writer", a.Record.Writer.ID)
 	}
 	switch {
 	case a.Record.Own != nil && a.Outcome.Effect == zone.Applied:
-		c.ownFolded(now, a.Record)
+		c.handleOwnApplied(now, a.Record)
 	case a.Record.Fence != nil && a.Outcome.Effect == zone.Applied:
-		c.fences[a.Record.Fence.Instance] = now
-		c.log(Info, "fenced", "instance", a.Record.Fence.Instance.ID, "offset", a.Offset)
+		c.fencedAt[a.Record.Fence.Instance] = now
+		c.logEvent(Info, "fenced", "instance", a.Record.Fence.Instance.ID, "offset", a.Offset)
 	}
 }
 
-// forgetReport forgets that a record of ours would end an attempt, once it
-// was read back: it did, or it is void and may be due again.
-func (c *Controller) forgetReport(r record.Record) {
+// clearPendingEnds marks an own record that ends attempts as read back: it
+// took effect, or it is void and may be due again.
+func (c *Controller) clearPendingEnds(r record.Record) {
 	var task string
 	switch {
 	case r.Done != nil:
@@ -118,138 +115,138 @@
 		ids = r.Return.Tasks
 	}
 	for _, id := range ids {
-		if c.reported[id].sequence == r.Sequence {
-			delete(c.reported, id)
+		if c.pendingEnds[id].sequence == r.Sequence {
+			delete(c.pendingEnds, id)
 		}
 	}
 }
 
-// forgetClaim makes the tasks of a claim that was read back due again, should
-// they have been refused.
-func (c *Controller) forgetClaim(r record.Record) {
+// clearPendingClaim allows the tasks of a Claim that was read back to be
+// claimed again, in case they were refused.
+func (c *Controller) clearPendingClaim(r record.Record) {
 	if r.Claim == nil {
 		return
 	}
 	for _, id := range r.Claim.Tasks {
-		delete(c.proposed, "claim/"+id)
+		delete(c.proposedAt, "claim/"+id)
 	}
 }
 
-func (c *Controller) appended(now time.Time, in Appended) {
+func (c *Controller) handleAppended(now time.Time, in Appended) {
 	if in.Stream == ConfigStream {
-		c.config.answered()
+		c.config.handleAppended()
 		return
 	}
-	c.out.Answered(now, in.Err)
+	c.appender.Answered(now, in.Err)
 	if in.Err != nil {
-		c.log(Warn, "append failed", "stream", in.Stream, "error", in.Err.Error(), "waiting", c.out.Waiting())
+		c.logEvent(Warn, "append failed", "stream", in.Stream, "error", in.Err.Error(), "waiting", c.appender.Waiting())
 	}
 }
 
-// add puts a record in line and reports whether it could.
-func (c *Controller) add(r record.Record) (uint64, bool) {
-	sequence, err := c.out.Add(r)
+// appendRecord queues a record for the zone stream and returns its sequence
+// and whether it was accepted.
+func (c *Controller) appendRecord(r record.Record) (uint64, bool) {
+	sequence, err := c.appender.Add(r)
 	if err != nil {
-		c.log(Warn, "record refused", "error", err.Error())
+		c.logEvent(Warn, "record refused", "error", err.Error())
 		return 0, false
 	}
 	return sequence, true
 }
 
-func (c *Controller) flush(now time.Time) {
-	if batch, ok := c.out.Next(now); ok {
-		c.do(Append{Stream: c.stream, Data: batch.Data})
+func (c *Controller) flushAppends(now time.Time) {
+	if batch, ok := c.appender.Next(now); ok {
+		c.emit(Append{Stream: c.stream, Data: batch.Data})
 	}
 	if data, ok := c.config.nextAppend(now); ok {
-		c.do(Append{Stream: ConfigStream, Data: [][]byte{data}})
+		c.emit(Append{Stream: ConfigStream, Data: [][]byte{data}})
 	}
 }
 
-// checkFence starts a new run when the others have fenced this one.
-//
-// What goes wrong: this instance was paused or cut off for so long that the
-// others gave it up and took its tasks. All its records are void from then
-// on. One would notice work that is started and never recorded. Under a new
-// incarnation it holds nothing and takes part again.
-func (c *Controller) checkFence(now time.Time) {
+// restartIfFenced starts a new incarnation when other instances have fenced
+// this one. They do so when it was paused or cut off for so long that they
+// took its tasks; from then on all its records are void, and the work that it
+// starts would never be recorded. Under a new incarnation it holds nothing and
+// takes part again.
+func (c *Controller) restartIfFenced(now time.Time) {
 	s := c.State()
 	if s == nil || !s.Fenced(c.writer()) {
 		return
 	}
-	c.log(Warn, "fenced by others", "incarnation", c.self.Incarnation)
-	for _, h := range c.holdings {
-		c.giveUp(now, h)
+	c.logEvent(Warn, "fenced by others", "incarnation", c.self.Incarnation)
+	for _, w := range c.workers {
+		c.dropLease(now, w)
 	}
 	c.failCommands()
-	c.begin(max(s.Incarnation(c.self.ID)+1, uint64(now.UnixMilli())))
-	c.list(now, c.listed)
+	c.startIncarnation(max(s.Incarnation(c.self.ID)+1, uint64(now.UnixMilli())))
+	c.handleListed(now, c.instances)
 }
 
-// announce writes a run's first record.
-//
-// What goes wrong: an instance restarts under its ID, and its earlier run's
-// tasks are settled only once the new run writes something. One would notice
-// them waiting although the instance is up and idle.
-func (c *Controller) announce(now time.Time) {
-	if c.follow.Ready() && c.out.Last() == 0 && !c.leaving {
-		c.add(record.Record{Marker: &record.Marker{}})
+// appendFirstRecord appends a Marker as an incarnation's first record. When an
+// instance restarts under its ID, the tasks of its previous incarnation are
+// settled only once the new one writes a record; without this they would wait
+// while the instance is up and idle.
+func (c *Controller) appendFirstRecord(now time.Time) {
+	if c.follower.Ready() && c.appender.Last() == 0 && !c.leaving {
+		c.appendRecord(record.Record{Marker: &record.Marker{}})
 	}
 }
 
-// recoverState writes a recovery snapshot when records expired unread and no
-// snapshot is left, and a regular one when somebody else did so although this
-// instance has the state.
+// recoverState appends a recovery snapshot when records expired unread and no
+// snapshot is left. When another instance did so although this one still has
+// the state, it appends a regular snapshot, which overrules the recovery.
 func (c *Controller) recoverState(now time.Time) {
 	switch {
-	case c.follow.Ready() && c.follow.Contested():
-		if c.once(now, "overrule") {
-			c.writeSnapshot()
+	case c.follower.Ready() && c.follower.Contested():
+		if c.allowProposal(now, "overrule") {
+			c.appendSnapshot()
 		}
-	case c.follow.Contested():
-		if c.once(now, "marker") {
-			c.add(record.Record{Marker: &record.Marker{}})
+	case c.follower.Contested():
+		if c.allowProposal(now, "marker") {
+			c.appendRecord(record.Record{Marker: &record.Marker{}})
 		}
 	default:
-		c.writeRecovery(now)
+		c.appendRecoverySnapshot(now)
 	}
 }
 
-func (c *Controller) writeRecovery(now time.Time) {
-	prior, lost := c.follow.Lost()
+func (c *Controller) appendRecoverySnapshot(now time.Time) {
+	prior, lost := c.follower.Lost()
 	if !lost {
-		c.lostAt = time.Time{}
+		c.stateLostAt = time.Time{}
 		return
 	}
-	if c.lostAt.IsZero() {
-		c.lostAt = now
+	if c.stateLostAt.IsZero() {
+		c.stateLostAt = now
 	}
-	if now.Sub(c.lostAt) < recoverAfter || !c.once(now, "recovery") {
-		return // whoever has the state writes a snapshot in time
+	if now.Sub(c.stateLostAt) < recoverAfter || !c.allowProposal(now, "recovery") {
+		return // an instance that has the state appends a snapshot within this time
 	}
 	if prior == nil {
 		prior = zone.New(c.self.AvailabilityZone)
 	}
-	prior.SkipTo(c.follow.Next())
+	prior.SkipTo(c.follower.Next())
 	state, err := prior.Snapshot()
 	if err != nil {
-		c.log(Warn, "snapshot failed", "error", err.Error())
+		c.logEvent(Warn, "snapshot failed", "error", err.Error())
 		return
 	}
-	c.log(Warn, "state lost", "next", c.follow.Next())
-	c.add(record.Record{Snapshot: &record.Snapshot{At: c.follow.Next() - 1, State: state, Recovery: true}})
+	c.logEvent(Warn, "state lost", "next", c.follower.Next())
+	c.appendRecord(record.Record{Snapshot: &record.Snapshot{At: c.follower.Next() - 1, State: state, Recovery: true}})
 }
 
-// propose writes what any instance of the zone may write. It does so only
-// while it reads the log's tail: what waited through an outage would be out
-// of date when it is appended, such as a fence of an instance that is back.
-func (c *Controller) propose(now time.Time) {
-	if now.Sub(c.follow.Tail()) > c.timing.Suspicion {
-		clear(c.missed)
+// proposeRecords appends the records that any instance of the zone may write.
+// It does so only while it reads the log's tail: a record that waited through
+// an outage, such as a fence of an instance that is back, would be out of date
+// when appended.
+func (c *Controller) proposeRecords(now time.Time) {
+	if now.Sub(c.follower.Tail()) > c.timing.Suspicion {
+		clear(c.downSince)
 		return
 	}
 	c.proposeFences(now)
 	c.proposeLapses(now)
-	if !c.proposer() {
+	if !c.isProposer() {
 		return
 	}
 	c.proposeLimits(now)
@@ -258,85 +255,86 @@
 	c.proposeSnapshot(now)
 }
 
-// proposeFences voids the records of runs that hold something and have been
-// out of service for long.
+// proposeFences fences the incarnations that own something and have been out
+// of service for longer than the fence time.
 func (c *Controller) proposeFences(now time.Time) {
-	for w := range c.State().Owners() {
-		if c.inService(w) {
-			delete(c.missed, w)
+	for writer := range c.State().Owners() {
+		if c.isInService(writer) {
+			delete(c.downSince, writer)
 			continue
 		}
-		since, ok := c.missed[w]
+		since, ok := c.downSince[writer]
 		if !ok {
-			c.missed[w] = now
+			c.downSince[writer] = now
 			continue
 		}
-		if !c.proposer() || now.Sub(since) < c.timing.Fence || !c.once(now, "fence/"+w.ID) {
+		if !c.isProposer() || now.Sub(since) < c.timing.Fence || !c.allowProposal(now, "fence/"+writer.ID) {
 			continue
 		}
-		c.log(Info, "fence", "instance", w.ID, "incarnation", w.Incarnation)
-		c.add(record.Record{Fence: &record.Fence{Instance: w}})
+		c.logEvent(Info, "fence", "instance", writer.ID, "incarnation", writer.Incarnation)
+		c.appendRecord(record.Record{Fence: &record.Fence{Instance: writer}})
 	}
 }
 
-// inService reports whether a run of an instance needs no fence.
-func (c *Controller) inService(w record.Writer) bool {
-	return w == c.writer() || c.State().Fenced(w) || c.alive(w)
+// isInService reports whether an incarnation needs no fence.
+func (c *Controller) isInService(writer record.Writer) bool {
+	return writer == c.writer() || c.State().Fenced(writer) || c.isAlive(writer)
 }
 
-// proposeLapses ends the wait for workers that nobody could take over.
+// proposeLapses ends the wait for a fenced instance's workers that nobody
+// could take over.
 //
-// What goes wrong: a fenced owner may still reach a worker that nobody else
-// reaches, and go on extending the leases of the tasks there. One would
-// notice the same task running twice after it was queued again. The owner
-// extends them for no longer than the isolation bound after it last read the
-// log, and the last extension ends as taskEnd says, so after both the worker
-// has stopped the tasks.
+// A fenced owner may still reach a worker that no other instance reaches, and
+// keep extending the leases of its tasks. If the tasks were queued again at
+// once, they could run twice. The owner extends task leases for at most the
+// isolation bound after it last read the log, and the last extension ends
+// within taskEndBound, so after both the worker has stopped the tasks.
 func (c *Controller) proposeLapses(now time.Time) {
-	wait := c.timing.Isolation + c.taskEnd()
+	wait := c.timing.Isolation + c.taskEndBound()
 	for r := range c.State().Recoveries() {
-		seen, ok := c.fences[r.Instance]
+		seen, ok := c.fencedAt[r.Instance]
 		if !ok {
-			c.fences[r.Instance] = now
+			c.fencedAt[r.Instance] = now
 			continue
 		}
-		if now.Sub(seen) < wait || !c.proposer() {
+		if now.Sub(seen) < wait || !c.isProposer() {
 			continue
 		}
 		for _, id := range r.Pending {
-			w, _ := c.State().Worker(id)
-			if c.once(now, "lapse/"+id) {
-				c.log(Info, "lapse", "worker", id, "epoch", w.Epoch)
-				c.add(record.Record{Lapse: &record.Lapse{Worker: id, Epoch: w.Epoch}})
+			recorded, _ := c.State().Worker(id)
+			if c.allowProposal(now, "lapse/"+id) {
+				c.logEvent(Info, "lapse", "worker", id, "epoch", recorded.Epoch)
+				c.appendRecord(record.Record{Lapse: &record.Lapse{Worker: id, Epoch: recorded.Epoch}})
 			}
 		}
 	}
 }
 
-// understands reports whether the manifest in use is the one in force.
-func (c *Controller) understands() bool {
-	return c.manifest != nil && c.config.understood == c.history.Current().Number
+// hasCurrentManifest reports whether the manifest in use is the one in force.
+// It is not when a newer program published one that this program can't decode.
+func (c *Controller) hasCurrentManifest() bool {
+	return c.manifest != nil && c.config.decodedRevision == c.revisions.Current().Number
 }
 
 func (c *Controller) proposeLimits(now time.Time) {
-	if !c.understands() || c.history.Current().Number <= c.State().Revision() || !c.once(now, "limits") {
+	if !c.hasCurrentManifest() || c.revisions.Current().Number <= c.State().Revision() || !c.allowProposal(now, "limits") {
 		return
 	}
-	c.add(record.Record{Limits: &record.Limits{
-		Revision: c.history.Current().Number,
+	c.appendRecord(record.Record{Limits: &record.Limits{
+		Revision: c.revisions.Current().Number,
 		Groups:   c.manifest.Limits(c.self.AvailabilityZone),
 	}})
 }
 
-// proposeJobs queues the tasks of declared jobs and cancels those of jobs
-// that are declared no more.
+// proposeJobs queues the tasks of declared jobs and cancels those of jobs that
+// are no longer declared.
 func (c *Controller) proposeJobs(now time.Time) {
-	if !c.understands() || c.history.Current().Number != c.State().Revision() || !c.once(now, "jobs") {
+	if !c.hasCurrentManifest() || c.revisions.Current().Number != c.State().Revision() || !c.allowProposal(now, "jobs") {
 		return
 	}
-	declared := make(map[string]bool, len(c.jobs))
+	declared := make(map[string]bool, len(c.declaredTasks))
 	var missing []record.Task
-	for _, t := range c.jobs {
+	for _, t := range c.declaredTasks {
 		declared[t.ID] = true
 		known, ok := c.State().Task(t.ID)
 		if !ok || !known.Declared && !known.Ended.IsZero() {
@@ -344,42 +342,41 @@
 		}
 	}
 	for len(missing) > 0 {
-		n := min(len(missing), submitMax)
-		c.add(record.Record{Submit: &record.Submit{Tasks: missing[:n]}})
+		n := min(len(missing), maxSubmitTasks)
+		c.appendRecord(record.Record{Submit: &record.Submit{Tasks: missing[:n]}})
 		missing = missing[n:]
 	}
 	c.cancelUndeclared(declared)
 }
 
-// proposeParks sets aside queued tasks that can't run as declared.
-//
-// What goes wrong: a task needs more than any worker holds, or than its
-// group's limit, and stays queued for ever. One would notice it waiting beside
-// idle workers, with no reason shown. Parked, it shows the reason in the
-// status until it is cancelled.
+// proposeParks parks queued tasks that can't run as declared, because they
+// need more than any worker holds or than their group's limit. Otherwise they
+// would stay queued forever without a visible reason. The status shows the
+// reason of a parked task until the task is cancelled.
 func (c *Controller) proposeParks(now time.Time) {
-	if !c.due(now, "parks") {
+	if !c.allowAction(now, "parks") {
 		return
 	}
 	for t := range c.State().Queued() {
 		if now.Sub(t.Submitted) < parkAfter {
 			continue
 		}
-		if reason := c.misfit(t); reason != "" && c.once(now, "park/"+t.ID) {
-			c.log(Info, "parked", "task", t.ID, "reason", reason)
-			c.add(record.Record{Park: &record.Park{Task: t.ID, Reason: reason}})
+		if reason := c.unplaceableReason(t); reason != "" && c.allowProposal(now, "park/"+t.ID) {
+			c.logEvent(Info, "parked", "task", t.ID, "reason", reason)
+			c.appendRecord(record.Record{Park: &record.Park{Task: t.ID, Reason: reason}})
 		}
 	}
 }
 
-// misfit returns why a task can't run in this zone, or nothing.
-func (c *Controller) misfit(t zone.Task) string {
+// unplaceableReason returns why a task can't run in this zone, or "" if it
+// can.
+func (c *Controller) unplaceableReason(t zone.Task) string {
 	limit := c.State().Group(t.Group).Limit
 	if !t.Need.Fits(limit) {
 		return fmt.Sprintf("needs %v, its group may hold %v", t.Need, limit)
 	}
 	workers := 0
-	for _, in := range c.listed {
+	for _, in := range c.instances {
 		if in.Role != provider.RoleWorker || in.AvailabilityZone != c.self.AvailabilityZone {
 			continue
 		}
@@ -395,44 +392,45 @@
 }
 
 func (c *Controller) proposeSnapshot(now time.Time) {
-	if c.snapshotAt.IsZero() {
-		c.snapshotAt = now
+	if c.lastSnapshot.IsZero() {
+		c.lastSnapshot = now
 	}
-	if now.Sub(c.snapshotAt) < c.timing.Snapshot || c.follow.Next() == 0 {
+	if now.Sub(c.lastSnapshot) < c.timing.Snapshot || c.follower.Next() == 0 {
 		return
 	}
-	c.snapshotAt = now
-	if c.out.Settled(c.snapshot) { // else the last one still waits, and another would only lengthen the line
-		c.writeSnapshot()
+	c.lastSnapshot = now
+	if c.appender.Settled(c.snapshotSequence) { // a second waiting snapshot would only lengthen the backlog
+		c.appendSnapshot()
 	}
 }
 
-func (c *Controller) writeSnapshot() {
+func (c *Controller) appendSnapshot() {
 	state, err := c.State().Snapshot()
 	if err != nil {
-		c.log(Warn, "snapshot failed", "error", err.Error())
+		c.logEvent(Warn, "snapshot failed", "error", err.Error())
 		return
 	}
-	if sequence, ok := c.add(record.Record{Snapshot: &record.Snapshot{At: c.follow.Next() - 1, State: state}}); ok {
-		c.snapshot = sequence
+	if sequence, ok := c.appendRecord(record.Record{Snapshot: &record.Snapshot{At: c.follower.Next() - 1, State: state}}); ok {
+		c.snapshotSequence = sequence
 	}
 }
 
-// once reports whether a proposal is due: not made yet, or long ago and no
-// longer in line.
-func (c *Controller) once(now time.Time, key string) bool {
-	if _, ok := c.proposed[key]; ok && c.out.Waiting() > 0 {
+// allowProposal reports whether a proposal is due, and if so marks it as made
+// now. A proposal made before is due again after reproposeInterval, and only
+// when no own records wait to be read back.
+func (c *Controller) allowProposal(now time.Time, key string) bool {
+	if _, ok := c.proposedAt[key]; ok && c.appender.Waiting() > 0 {
 		return false
 	}
-	return c.due(now, key)
+	return c.allowAction(now, key)
 }
 
-// due reports whether something wasn't done lately, and notes that it is
-// done now.
-func (c *Controller) due(now time.Time, key string) bool {
-	if at, ok := c.proposed[key]; ok && now.Sub(at) < repropose {
+// allowAction reports whether an action is due because it wasn't done within
+// reproposeInterval, and if so marks it as done now.
+func (c *Controller) allowAction(now time.Time, key string) bool {
+	if at, ok := c.proposedAt[key]; ok && now.Sub(at) < reproposeInterval {
 		return false
 	}
-	c.proposed[key] = now
+	c.proposedAt[key] = now
 	return true
 }
--- a/controller/task.go
+++ b/controller/task.go
@@ -11,88 +11,90 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// holdFor is how long an escrowed task may wait for room before it is given
-// back.
-const holdFor = 2 * time.Second
-
-// refusedPause is how long a worker that refused a start gets no other one.
-const refusedPause = 10 * time.Second
-
-// renewed takes the answer to a renewal, which lists what the worker holds.
-func (c *Controller) renewed(now time.Time, h *holding, in Leased) {
-	if in.Lease.Epoch != h.epoch || !c.book.Granted(in.Sent, h.id, in.Lease) {
+// returnAfter is how long an escrowed task may wait for capacity before it is
+// returned to the queue.
+const returnAfter = 2 * time.Second
+
+// refusedStartPause is how long no task is started on a worker that refused a
+// start.
+const refusedStartPause = 10 * time.Second
+
+// handleRenewed handles the answer to a renewal, which lists the worker's
+// tasks.
+func (c *Controller) handleRenewed(now time.Time, w *worker, in Leased) {
+	if in.Lease.Epoch != w.epoch || !c.leases.Granted(in.Sent, w.id, in.Lease) {
 		return
 	}
-	h.unanswered = 0
-	c.dirty = true
-	c.seeReplicas(h, in.Lease.Tasks)
-	gone := c.see(now, h, in.Lease.Tasks)
+	w.unansweredRenewals = 0
+	c.routesDirty = true
+	c.syncReplicas(w, in.Lease.Tasks)
+	missing := c.reconcileTasks(now, w, in.Lease.Tasks)
 	if c.State() == nil {
-		return // until the lost state is recovered nobody knows what is stale
+		return // stale tasks can't be told apart until the lost state is recovered
 	}
-	if !c.onRecord(h) {
-		c.checkOwn(now, h, in.Lease.Tasks)
+	if !c.isOwnershipRecorded(w) {
+		c.restoreOwnership(now, w, in.Lease.Tasks)
 		return
 	}
-	if h.phase == granted {
+	if w.phase == granted {
 		return
 	}
-	for _, p := range gone {
-		c.vanished(now, h, p)
+	for _, a := range missing {
+		c.handleMissingTask(now, w, a)
 	}
-	c.note(now, h)
-	c.dropStale(h)
-	c.confirm(h)
+	c.updateEstimator(now, w)
+	c.stopStaleTasks(w)
+	c.confirmOwnership(w)
 }
 
-// onRecord reports whether the log names this holding's epoch, or its Own
-// record is still under way.
-func (c *Controller) onRecord(h *holding) bool {
-	if !c.follow.Ready() || h.phase == granted && h.recorded != 0 {
+// isOwnershipRecorded reports whether the log has the worker's current epoch,
+// or its Own record is still in flight.
+func (c *Controller) isOwnershipRecorded(w *worker) bool {
+	if !c.follower.Ready() || w.phase == granted && w.ownSequence != 0 {
 		return true
 	}
-	w, ok := c.State().Worker(h.id)
-	return h.phase == adopted && ok && w.Owner == c.self.ID && w.Incarnation == c.self.Incarnation && w.Epoch == h.epoch
+	recorded, ok := c.State().Worker(w.id)
+	return w.phase == adopted && ok && recorded.Owner == c.self.ID && recorded.Incarnation == c.self.Incarnation && recorded.Epoch == w.epoch
 }
 
-// checkOwn writes the Own record when it was never written, and takes the
-// lease again when it was written and isn't in force.
-func (c *Controller) checkOwn(now time.Time, h *holding, tasks []provider.Running) {
-	if h.phase == granted && !h.written {
-		c.recordOwn(h, tasks)
+// restoreOwnership appends the Own record if that was never done. If it was
+// appended and isn't in force, the lease is acquired again.
+func (c *Controller) restoreOwnership(now time.Time, w *worker, tasks []provider.Running) {
+	if w.phase == granted && !w.ownAppended {
+		c.appendOwn(w, tasks)
 		return
 	}
-	c.reacquire(now, h)
+	c.reacquire(now, w)
 }
 
-// see brings the placements in line with what the worker holds, and returns
-// those it doesn't hold.
-func (c *Controller) see(now time.Time, h *holding, tasks []provider.Running) []*assignment {
+// reconcileTasks updates the assignments from the list of tasks that the
+// worker holds, and returns the assignments that the worker doesn't hold.
+func (c *Controller) reconcileTasks(now time.Time, w *worker, tasks []provider.Running) []*assignment {
 	held := make(map[string]bool, len(tasks))
 	for _, t := range tasks {
 		if t.Kind != provider.KindBatch {
 			continue
 		}
 		held[t.ID] = true
-		p, ok := h.tasks[t.ID]
-		if !ok || p.attempt != t.Attempt {
-			c.unplace(h, t.ID)
-			p = &assignment{id: t.ID, attempt: t.Attempt, need: t.Need, started: now}
-			c.place(h, p)
+		a, ok := w.tasks[t.ID]
+		if !ok || a.attempt != t.Attempt {
+			c.unassign(w, t.ID)
+			a = &assignment{id: t.ID, attempt: t.Attempt, need: t.Need, startedAt: now}
+			c.assign(w, a)
 		}
-		p.spec.Checkpoint = t.Checkpoint
-		p.stage = stageOf(t.State, p.stage)
-		if h.phase == adopted {
-			c.reportEnd(h, t)
+		a.spec.Checkpoint = t.Checkpoint
+		a.stage = stageOf(t.State, a.stage)
+		if w.phase == adopted {
+			c.appendTaskEnd(w, t)
 		}
 	}
-	var gone []*assignment
-	for _, p := range sortedAssignments(h.tasks) {
-		if !held[p.id] {
-			gone = append(gone, p)
+	var missing []*assignment
+	for _, a := range sortedAssignments(w.tasks) {
+		if !held[a.id] {
+			missing = append(missing, a)
 		}
 	}
-	return gone
+	return missing
 }
 
 func stageOf(s provider.TaskState, before stage) stage {
@@ -105,130 +107,130 @@
 	return running
 }
 
-// reportEnd writes down how an attempt ended, once per attempt.
-func (c *Controller) reportEnd(h *holding, t provider.Running) {
-	a := record.Attempt{Task: t.ID, Number: t.Attempt}
-	if t.State == provider.TaskRunning || !c.current(a) {
+// appendTaskEnd records how an attempt ended, once per attempt.
+func (c *Controller) appendTaskEnd(w *worker, t provider.Running) {
+	attempt := record.Attempt{Task: t.ID, Number: t.Attempt}
+	if t.State == provider.TaskRunning || !c.isCurrent(attempt) {
 		return
 	}
 	switch t.State {
 	case provider.TaskDone:
-		c.endAttempt(a, record.Record{Done: &record.Done{Attempt: a, Worker: h.id, Result: t.Result}})
+		c.appendAttemptEnd(attempt, record.Record{Done: &record.Done{Attempt: attempt, Worker: w.id, Result: t.Result}})
 	case provider.TaskFailed:
-		c.endAttempt(a, record.Record{Failed: &record.Failed{Attempt: a, Worker: h.id, Reason: t.Reason}})
+		c.appendAttemptEnd(attempt, record.Record{Failed: &record.Failed{Attempt: attempt, Worker: w.id, Reason: t.Reason}})
 	case provider.TaskStopped:
-		c.endAttempt(a, record.Record{Evicted: &record.Evicted{Attempt: a, Worker: h.id, Checkpoint: t.Checkpoint}})
+		c.appendAttemptEnd(attempt, record.Record{Evicted: &record.Evicted{Attempt: attempt, Worker: w.id, Checkpoint: t.Checkpoint}})
 	}
 }
 
-// endAttempt writes a record that ends an attempt unless one is under way.
-func (c *Controller) endAttempt(a record.Attempt, r record.Record) {
-	if c.ending(a) {
+// appendAttemptEnd appends a record that ends an attempt unless one is in
+// flight.
+func (c *Controller) appendAttemptEnd(attempt record.Attempt, r record.Record) {
+	if c.isEnding(attempt) {
 		return
 	}
-	if sequence, ok := c.add(r); ok {
-		c.reported[a.Task] = report{a.Number, sequence}
+	if sequence, ok := c.appendRecord(r); ok {
+		c.pendingEnds[attempt.Task] = pendingEnd{attempt.Number, sequence}
 	}
 }
 
-// report is a record that ends an attempt and wasn't read back yet.
-type report struct {
+// pendingEnd is a record that ends an attempt and isn't read back yet.
+type pendingEnd struct {
 	attempt  uint32
 	sequence uint64
 }
 
-// ending reports whether a record that ends an attempt is under way.
-func (c *Controller) ending(a record.Attempt) bool {
-	r, ok := c.reported[a.Task]
-	return ok && r.attempt == a.Number
+// isEnding reports whether a record that ends an attempt is in flight.
+func (c *Controller) isEnding(attempt record.Attempt) bool {
+	r, ok := c.pendingEnds[attempt.Task]
+	return ok && r.attempt == attempt.Number
 }
 
-// current reports whether an attempt is the one that this instance's escrow
-// holds on record.
-func (c *Controller) current(a record.Attempt) bool {
+// isCurrent reports whether an attempt is the recorded one in this instance's
+// escrow.
+func (c *Controller) isCurrent(attempt record.Attempt) bool {
 	s := c.State()
 	if s == nil {
 		return false
 	}
-	t, ok := s.Task(a.Task)
-	return ok && c.mine(t) && t.Attempt == a.Number
+	t, ok := s.Task(attempt.Task)
+	return ok && c.isOwnEscrow(t) && t.Attempt == attempt.Number
 }
 
-func (c *Controller) mine(t zone.Task) bool {
+func (c *Controller) isOwnEscrow(t zone.Task) bool {
 	return t.State == zone.Escrowed && t.Owner == c.self.ID && t.Incarnation == c.self.Incarnation
 }
 
-// dropStale stops what the worker runs of attempts that aren't current, and
-// acknowledges results that are on record.
-//
-// What goes wrong: a task was queued again or cancelled while the worker
-// kept running an old attempt. One would notice two runs of one task. It is
-// stopped here before any task lease on the worker is extended.
-func (c *Controller) dropStale(h *holding) {
-	if h.phase != adopted {
+// stopStaleTasks stops attempts on a worker that aren't current, and
+// acknowledges results that are recorded. A task may have been queued again or
+// cancelled while the worker kept running an old attempt; stopping it here,
+// before any task lease on the worker is extended, keeps the task from running
+// twice.
+func (c *Controller) stopStaleTasks(w *worker) {
+	if w.phase != adopted {
 		return
 	}
 	var acknowledge []string
-	for _, p := range sortedAssignments(h.tasks) {
-		a := record.Attempt{Task: p.id, Number: p.attempt}
+	for _, a := range sortedAssignments(w.tasks) {
+		attempt := record.Attempt{Task: a.id, Number: a.attempt}
 		switch {
-		case p.stage == ended && !c.ending(a) && !c.current(a):
-			acknowledge = append(acknowledge, p.id)
-		case p.stage == running && (!c.current(a) || c.cancelling(p.id)):
-			p.stage = stopping
-			c.call(h, Call{Verb: Stop, Epoch: h.epoch, Task: p.id})
+		case a.stage == ended && !c.isEnding(attempt) && !c.isCurrent(attempt):
+			acknowledge = append(acknowledge, a.id)
+		case a.stage == running && (!c.isCurrent(attempt) || c.isCancelling(a.id)):
+			a.stage = stopping
+			c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: a.id})
 		}
 	}
 	if len(acknowledge) > 0 {
-		c.call(h, Call{Verb: Acknowledge, Epoch: h.epoch, Tasks: acknowledge})
+		c.enqueueCall(w, Call{Verb: Acknowledge, Epoch: w.epoch, Tasks: acknowledge})
 	}
 }
 
-func (c *Controller) cancelling(id string) bool {
+func (c *Controller) isCancelling(id string) bool {
 	t, ok := c.State().Task(id)
 	return ok && t.Cancelling
 }
 
-// vanished settles a placement that the worker doesn't hold.
-func (c *Controller) vanished(now time.Time, h *holding, p *assignment) {
-	a := record.Attempt{Task: p.id, Number: p.attempt}
-	if !c.current(a) {
-		c.unplace(h, p.id)
+// handleMissingTask resolves an assignment that the worker doesn't hold.
+func (c *Controller) handleMissingTask(now time.Time, w *worker, a *assignment) {
+	attempt := record.Attempt{Task: a.id, Number: a.attempt}
+	if !c.isCurrent(attempt) {
+		c.unassign(w, a.id)
 		return
 	}
-	if p.stage == starting && h.inLine(Start, p.id) {
+	if a.stage == starting && w.hasQueuedCall(Start, a.id) {
 		return // not sent yet
 	}
-	if p.stage == starting && !c.fresh(now) {
-		return // others may have given the task to another worker
+	if a.stage == starting && !c.isFresh(now) {
+		return // another instance may have started the task on another worker
 	}
-	if p.stage == starting {
-		c.call(h, Call{Verb: Start, Epoch: h.epoch, Spec: p.spec}) // repeated: the first answer was lost
+	if a.stage == starting {
+		c.enqueueCall(w, Call{Verb: Start, Epoch: w.epoch, Spec: a.spec}) // the answer to the first start was lost
 		return
 	}
-	c.endAttempt(a, record.Record{Evicted: &record.Evicted{Attempt: a, Worker: h.id, Checkpoint: p.spec.Checkpoint}})
+	c.appendAttemptEnd(attempt, record.Record{Evicted: &record.Evicted{Attempt: attempt, Worker: w.id, Checkpoint: a.spec.Checkpoint}})
 }
 
-// inLine reports whether a call about a task waits to be sent.
-func (h *holding) inLine(v Verb, task string) bool {
-	return slices.ContainsFunc(h.queue, func(q Call) bool { return q.Verb == v && (q.Task == task || q.Spec.ID == task) })
+// hasQueuedCall reports whether a call for a task is queued.
+func (w *worker) hasQueuedCall(v Verb, task string) bool {
+	return slices.ContainsFunc(w.callQueue, func(q Call) bool { return q.Verb == v && (q.Task == task || q.Spec.ID == task) })
 }
 
-// place notes that an attempt was put on a worker.
-func (c *Controller) place(h *holding, p *assignment) {
-	h.tasks[p.id] = p
-	c.placed[record.Attempt{Task: p.id, Number: p.attempt}] = h
+// assign records that an attempt is on a worker.
+func (c *Controller) assign(w *worker, a *assignment) {
+	w.tasks[a.id] = a
+	c.workerByAttempt[record.Attempt{Task: a.id, Number: a.attempt}] = w
 }
 
-func (c *Controller) unplace(h *holding, id string) {
-	p, ok := h.tasks[id]
+func (c *Controller) unassign(w *worker, id string) {
+	a, ok := w.tasks[id]
 	if !ok {
 		return
 	}
-	delete(h.tasks, id)
-	a := record.Attempt{Task: id, Number: p.attempt}
-	if c.placed[a] == h {
-		delete(c.placed, a)
+	delete(w.tasks, id)
+	attempt := record.Attempt{Task: id, Number: a.attempt}
+	if c.workerByAttempt[attempt] == w {
+		delete(c.workerByAttempt, attempt)
 	}
 }
 
@@ -236,117 +238,118 @@
 	return record.Attempt{Task: t.ID, Number: t.Attempt}
 }
 
-// called takes the answer to a call about a task.
-func (c *Controller) called(now time.Time, in Called) {
-	h, ok := c.holdings[in.Worker]
+// handleCallAnswer handles the answer to any call that isn't about the lease
+// itself, and to Release.
+func (c *Controller) handleCallAnswer(now time.Time, in Called) {
+	w, ok := c.workers[in.Worker]
 	if !ok {
 		return
 	}
-	h.busy = false
+	w.callInFlight = false
 	switch {
 	case in.Verb == Release:
-		h.phase = unowned
-		h.retryAt = now.Add(c.timing.Lease)
-		c.book.Drop(h.id)
+		w.phase = unowned
+		w.retryAt = now.Add(c.timing.Lease)
+		c.leases.Drop(w.id)
 	case fault.Is(in.Err, fault.StaleEpoch):
-		c.notRenewed(now, h, in.Err)
+		c.handleLeaseFailure(now, w, in.Err)
 	case in.Verb == Start:
-		c.started(now, h, in)
+		c.handleStartAnswer(now, w, in)
 	case in.Verb == Stop && in.Err != nil:
-		c.notStopped(h, in.Task)
+		c.handleStopFailed(w, in.Task)
 	case in.Verb == Stop:
-		c.renewNow(now, h) // tells how the task ended, so that its room is free at once
+		c.renewLease(now, w) // the answer shows how the task ended and frees its capacity at once
 	case in.Verb == Acknowledge && in.Err == nil:
-		c.acknowledged(h)
+		c.handleAcknowledged(w)
 	}
-	c.pump(h)
+	c.sendNextCall(w)
 }
 
-// started takes the answer to a start.
+// handleStartAnswer handles the answer to a start.
 //
-// What goes wrong: a start without an answer may arrive late. If a second one
-// is refused and the task is put elsewhere, the late one starts it here too.
-// One would notice two runs of one attempt. After an unsure start a refusal
-// isn't believed: the lease is taken again, and its new epoch fences the late
+// A start without an answer may take effect late. If a repeated start is
+// refused and the task is assigned elsewhere, the late one would run the same
+// attempt a second time here. After an unanswered start a refusal is therefore
+// not trusted: the lease is acquired again, and its new epoch fences the late
 // call before the attempt is given up.
-func (c *Controller) started(now time.Time, h *holding, in Called) {
-	c.startedReplica(h, in)
-	p, ok := h.tasks[in.Task]
-	if !ok || p.attempt != in.Attempt {
+func (c *Controller) handleStartAnswer(now time.Time, w *worker, in Called) {
+	c.handleReplicaStarted(w, in)
+	a, ok := w.tasks[in.Task]
+	if !ok || a.attempt != in.Attempt {
 		return
 	}
-	h.extended = now
+	w.lastExtension = now
 	switch {
 	case in.Err == nil:
-		p.stage = running
+		a.stage = running
 	case fault.KindOf(in.Err).Answer().Ran != fault.NotRun:
-		p.unsure = true
-	case p.unsure:
-		c.reacquire(now, h)
+		a.startUnanswered = true
+	case a.startUnanswered:
+		c.reacquire(now, w)
 	case !fault.Is(in.Err, fault.Unavailable):
-		c.log(Info, "start refused", "worker", h.id, "task", in.Task, "error", in.Err.Error())
-		c.unplace(h, in.Task)
+		c.logEvent(Info, "start refused", "worker", w.id, "task", in.Task, "error", in.Err.Error())
+		c.unassign(w, in.Task)
 		if !fault.Is(in.Err, fault.Conflict) { // the worker still keeps an earlier attempt's result
-			h.startAt = now.Add(refusedPause)
+			w.noStartUntil = now.Add(refusedStartPause)
 		}
 	}
 }
 
-// notStopped makes a stop that failed due again.
-func (c *Controller) notStopped(h *holding, task string) {
-	if p, ok := h.tasks[task]; ok && p.stage == stopping {
-		p.stage = running
+// handleStopFailed marks a task as running again so that the stop is retried.
+func (c *Controller) handleStopFailed(w *worker, task string) {
+	if a, ok := w.tasks[task]; ok && a.stage == stopping {
+		a.stage = running
 	}
-	for _, p := range h.replicas {
-		if p.id == task && p.stage == stopping {
-			p.stage = running
+	for _, a := range w.replicas {
+		if a.id == task && a.stage == stopping {
+			a.stage = running
 		}
 	}
 }
 
-// acknowledged forgets the placements that ended on record.
-func (c *Controller) acknowledged(h *holding) {
-	for _, p := range sortedAssignments(h.tasks) {
-		if p.stage == ended && !c.current(record.Attempt{Task: p.id, Number: p.attempt}) {
-			c.unplace(h, p.id)
+// handleAcknowledged removes the assignments whose end is recorded.
+func (c *Controller) handleAcknowledged(w *worker) {
+	for _, a := range sortedAssignments(w.tasks) {
+		if a.stage == ended && !c.isCurrent(record.Attempt{Task: a.id, Number: a.attempt}) {
+			c.unassign(w, a.id)
 		}
 	}
 }
 
-// startEscrow starts the escrowed tasks that are on no worker yet, and gives
-// back those that no worker here has room for.
-func (c *Controller) startEscrow(now time.Time) {
-	if c.leaving || !c.fresh(now) {
+// startEscrowedTasks starts the escrowed tasks that are on no worker yet, and
+// returns those that no worker here has capacity for.
+func (c *Controller) startEscrowedTasks(now time.Time) {
+	if c.leaving || !c.isFresh(now) {
 		return
 	}
-	room := c.room(now)
+	free := c.freeCapacity(now)
 	for t := range c.State().Escrow(c.self.ID) {
-		a := attemptOf(t)
-		if c.placed[a] != nil || !c.mine(t) {
+		attempt := attemptOf(t)
+		if c.workerByAttempt[attempt] != nil || !c.isOwnEscrow(t) {
 			continue
 		}
-		if c.ending(a) {
+		if c.isEnding(attempt) {
 			continue
 		}
 		if t.Cancelling {
-			c.endAttempt(a, record.Record{Evicted: &record.Evicted{Attempt: a, Checkpoint: t.Checkpoint}})
+			c.appendAttemptEnd(attempt, record.Record{Evicted: &record.Evicted{Attempt: attempt, Checkpoint: t.Checkpoint}})
 			continue
 		}
-		h := c.workerFor(now, room, t)
-		if h == nil {
-			c.giveBack(now, t)
+		w := c.chooseWorkerForEscrowed(now, free, t)
+		if w == nil {
+			c.returnWhenOverdue(now, t)
 			continue
 		}
-		if h.tasks[t.ID] != nil {
+		if w.tasks[t.ID] != nil {
 			continue // the worker still keeps an earlier attempt's result
 		}
-		room[h.id] = room[h.id].Sub(t.Need)
-		c.start(now, h, t)
+		free[w.id] = free[w.id].Sub(t.Need)
+		c.startTask(now, w, t)
 	}
 }
 
-func (c *Controller) start(now time.Time, h *holding, t zone.Task) {
-	p := &assignment{
+func (c *Controller) startTask(now time.Time, w *worker, t zone.Task) {
+	a := &assignment{
 		id:      t.ID,
 		attempt: t.Attempt,
 		need:    t.Need,
@@ -361,79 +364,80 @@
 			Checkpoint: t.Checkpoint,
 		},
 	}
-	p.started = now
-	c.place(h, p)
-	delete(c.chosen, t.ID)
-	h.extended = now
-	delete(c.proposed, "hold/"+t.ID)
-	c.call(h, Call{Verb: Start, Epoch: h.epoch, Spec: p.spec})
+	a.startedAt = now
+	c.assign(w, a)
+	delete(c.selectedWorkers, t.ID)
+	w.lastExtension = now
+	delete(c.proposedAt, "hold/"+t.ID)
+	c.enqueueCall(w, Call{Verb: Start, Epoch: w.epoch, Spec: a.spec})
 }
 
-// giveBack returns an escrowed task that found no room for a while.
-//
-// What goes wrong: room turns up while the Return is under way, and the task
-// is started here; once the Return is read, another instance starts the same
-// attempt. One would notice two runs of one attempt. A Return counts as the
-// end of the attempt until it was read back, so nothing is started meanwhile.
-func (c *Controller) giveBack(now time.Time, t zone.Task) {
+// returnWhenOverdue returns an escrowed task to the queue when it has waited
+// longer than returnAfter for capacity. The Return counts as the end of the
+// attempt until it is read back: if capacity became free meanwhile and the
+// task were started here, another instance would start the same attempt once
+// it reads the Return.
+func (c *Controller) returnWhenOverdue(now time.Time, t zone.Task) {
 	key := "hold/" + t.ID
-	since, ok := c.proposed[key]
+	since, ok := c.proposedAt[key]
 	if !ok {
-		c.proposed[key] = now
+		c.proposedAt[key] = now
 		return
 	}
-	if now.Sub(since) > holdFor {
-		c.endAttempt(attemptOf(t), record.Record{Return: &record.Return{Tasks: []string{t.ID}}})
+	if now.Sub(since) > returnAfter {
+		c.appendAttemptEnd(attemptOf(t), record.Record{Return: &record.Return{Tasks: []string{t.ID}}})
 	}
 }
 
-// room returns what is free for batch work on each adopted worker: its
-// capacity less the planned replicas and the tasks that may be there.
-func (c *Controller) room(now time.Time) map[string]resource.Vector {
-	room := make(map[string]resource.Vector)
-	for _, h := range c.holdings {
-		if h.phase != adopted || h.leaving || now.Before(h.startAt) {
+// freeCapacity returns the capacity for batch tasks of each adopted worker:
+// its total capacity less the planned replicas and the tasks that may be
+// there.
+func (c *Controller) freeCapacity(now time.Time) map[string]resource.Vector {
+	free := make(map[string]resource.Vector)
+	for _, w := range c.workers {
+		if w.phase != adopted || w.leaving || now.Before(w.noStartUntil) {
 			continue
 		}
-		if w, ok := c.State().Worker(h.id); !ok || w.Quarantined {
+		if recorded, ok := c.State().Worker(w.id); !ok || recorded.Quarantined {
 			continue
 		}
-		if _, _, ok := c.book.Valid(now, h.id); !ok {
+		if _, _, ok := c.leases.Valid(now, w.id); !ok {
 			continue
 		}
-		room[h.id] = h.capacity.Sub(c.reservedBeside(h)).Sub(h.used()).Sub(c.excess(h))
+		free[w.id] = w.capacity.Sub(c.pendingReplicaNeed(w)).Sub(w.used()).Sub(c.undeclaredNeed(w))
 	}
-	return room
+	return free
 }
 
-// sweep forgets proposals that are long past.
-func (c *Controller) sweep(now time.Time) {
+// pruneProposals forgets proposals older than a minute and selections of tasks
+// that this instance no longer claims.
+func (c *Controller) pruneProposals(now time.Time) {
 	if c.State() == nil {
 		return
 	}
 	const keep = time.Minute
-	for key, at := range c.proposed {
+	for key, at := range c.proposedAt {
 		if now.Sub(at) > keep {
-			delete(c.proposed, key)
+			delete(c.proposedAt, key)
 		}
 	}
-	for id := range c.chosen {
-		if t, ok := c.State().Task(id); !ok || t.State != zone.Queued && !c.mine(t) {
-			delete(c.chosen, id)
+	for id := range c.selectedWorkers {
+		if t, ok := c.State().Task(id); !ok || t.State != zone.Queued && !c.isOwnEscrow(t) {
+			delete(c.selectedWorkers, id)
 		}
 	}
 }
 
-// cancelUndeclared cancels the tasks of declared jobs that the manifest
-// names no more, and lets the ended ones be forgotten.
+// cancelUndeclared cancels the tasks of declared jobs that the manifest no
+// longer names.
 func (c *Controller) cancelUndeclared(declared map[string]bool) {
-	var gone []string
+	var undeclared []string
 	for t := range c.State().Declared() {
 		if !t.Cancelling && !declared[t.ID] {
-			gone = append(gone, t.ID)
+			undeclared = append(undeclared, t.ID)
 		}
 	}
-	if len(gone) > 0 {
-		c.add(record.Record{Cancel: &record.Cancel{Tasks: gone}})
+	if len(undeclared) > 0 {
+		c.appendRecord(record.Record{Cancel: &record.Cancel{Tasks: undeclared}})
 	}
 }
