--- a/mitigation/ladder.go
+++ b/mitigation/ladder.go
@@ -1,5 +1,5 @@
-// Package mitigation protects services on a worker from the batch tasks
-// beside them.
+// Package mitigation protects the services on a worker from interference by
+// batch tasks on the same worker.
 //
 // Usage:
 //
@@ -11,19 +11,20 @@
 //		Tasks:   tasks,
 //	})
 //
-// When the tasks on a worker use more processors than it has, the largest are
-// throttled. When a service is above the limit, the tasks that explain it are throttled,
-// as many at once as the excess asks for. When they are at the floor and the
-// service still suffers, a task is evicted after a checkpoint, within a budget
-// per job and group and only for a gain above the cost. When no batch task can help, the
-// service itself is moved. Below the release limit throttles are taken back
-// after a hold time, which doubles when a service rises again soon after.
+// When the tasks on a worker use more processors than it has, the largest ones
+// are throttled. When a service is above the limit, the tasks that explain its
+// slowdown are throttled, as many at once as the excess requires. When they
+// are at the floor and the service is still above the limit, a task is evicted
+// after a checkpoint, within a budget per job and group and only for a gain
+// above the cost. When no batch task can help, the service itself is moved.
+// Below the release limit, throttles are released after a hold time, which
+// doubles when a service rises again soon after a release.
 //
-// Each step waits for reports that were measured after the step before it,
-// however late they come. A worker whose reports stopped is held at a
-// conservative throttle, and nothing is evicted on old evidence.
+// Each step waits for reports that were measured after the previous action,
+// however late they arrive. A worker whose reports stopped is kept at a
+// conservative throttle, and nothing is evicted on outdated measurements.
 //
-// State is bounded: one record for each worker with an action in the last
+// State is bounded: one record for each worker with a decision in the last
 // hour, and the evictions of the budget's window. A Ladder isn't safe for
 // concurrent use.
 package mitigation
@@ -37,7 +38,7 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Kind is a kind of action.
+// Kind is a kind of mitigating action.
 type Kind int
 
 // Kinds of action, in the order in which they are tried.
@@ -48,7 +49,7 @@
 	Move                   // place the service replica on another worker
 )
 
-// Action is one thing to do on a worker.
+// Action is one action on a worker.
 type Action struct {
 	Kind    Kind
 	Task    string
@@ -56,13 +57,13 @@
 	Reason  string
 }
 
-// Worker is what the ladder needs to know of a worker.
+// Worker is the state of a worker on which a Ladder decides.
 type Worker struct {
 	ID     string
 	Silent bool
-	// Load is the sum of all tasks' shares of the processors as throttled now.
-	// It must not wait for reports: a load that still shows what was before a
-	// throttle makes the next call throttle again.
+	// Load is the sum of all tasks' shares of the processors at their current
+	// throttles. It must not depend on reports: a load from before a throttle
+	// would make the next call throttle again.
 	Load    float64
 	Victims []interference.Victim
 	Tasks   []Task // batch tasks running there
@@ -73,23 +74,24 @@
 	ID        string
 	Job       string
 	Group     string
-	Percent   int           // its throttle, 100 for none
-	Share     float64       // of the worker's processors by its measured size, at full speed
-	Lost      time.Duration // work since its last checkpoint
-	Remaining time.Duration // expected at full speed
+	Percent   int           // its speed, 100 when not throttled
+	Share     float64       // of the worker's processors, by its measured size at full speed
+	Lost      time.Duration // work since the last checkpoint
+	Remaining time.Duration // expected run time at full speed
 }
 
-// Ladder decides on throttles, evictions and moves.
+// Ladder decides on throttles, evictions and moves, escalating from one to the
+// next.
 type Ladder struct {
 	options
-	workers map[string]*record
-	budget  budget
-	swept   time.Time
+	workers   map[string]*workerRecord
+	budget    budget
+	lastPrune time.Time
 }
 
-// New returns a Ladder.
+// New returns a Ladder without any workers.
 func New(opts ...Option) *Ladder {
-	l := &Ladder{options: defaults(), workers: map[string]*record{}}
+	l := &Ladder{options: defaults(), workers: map[string]*workerRecord{}}
 	for _, opt := range opts {
 		opt(&l.options)
 	}
@@ -97,79 +99,77 @@
 	return l
 }
 
-// Decide returns what to do on a worker now. The caller carries it out, or
-// doesn't; the next call goes by the state it is given.
+// Decide returns the actions for a worker. The caller need not carry them out:
+// the next call depends on the state that it is given.
 func (l *Ladder) Decide(now time.Time, in Worker) []Action {
-	l.sweep(now)
-	r := l.record(now, in.ID)
-	actions := l.decide(now, r, in)
+	l.prune(now)
+	r := l.recordFor(now, in.ID)
+	actions := l.selectActions(now, r, in)
 	if len(actions) > 0 {
-		r.acted = now
+		r.lastAction = now
 	}
 	return actions
 }
 
-func (l *Ladder) decide(now time.Time, r *record, in Worker) []Action {
+func (l *Ladder) selectActions(now time.Time, r *workerRecord, in Worker) []Action {
 	if in.Silent {
 		r.mode = Conservative
-		return l.hold(in)
+		return l.throttleUnreported(in)
 	}
-	if actions := l.relieve(in); len(actions) > 0 {
+	if actions := l.relieveOverload(in); len(actions) > 0 {
 		return actions
 	}
 	if len(in.Victims) == 0 {
 		r.mode = Watching
-		return l.release(now, r, in, 1)
+		return l.releaseThrottles(now, r, in, 1)
 	}
-	worst, all := worstOf(in.Victims, r.acted)
+	worst, allReported := worstVictim(in.Victims, r.lastAction)
 	if worst == nil {
 		return nil
 	}
-	if suffers(worst, l.limit) {
+	if exceedsLimit(worst, l.limit) {
 		return l.protect(now, r, in, worst)
 	}
-	r.since = time.Time{}
-	if !all || worst.Level > l.releaseLimit {
+	r.aboveLimitSince = time.Time{}
+	if !allReported || worst.Level > l.releaseLimit {
 		return nil
 	}
 	r.mode = Watching
-	return l.release(now, r, in, worst.Level)
+	return l.releaseThrottles(now, r, in, worst.Level)
 }
 
-// suffers reports whether both the estimate and the reports are above a
-// limit. The reports alone are noisy and the estimate alone may be wrong.
-func suffers(v *interference.Victim, limit float64) bool {
+// exceedsLimit reports whether both the estimate and the reports of a service
+// are above a limit. The reports alone are noisy, and the estimate alone may
+// be wrong.
+func exceedsLimit(v *interference.Victim, limit float64) bool {
 	return v.Level > limit && v.Observed > limit
 }
 
-// worstOf returns the worst service whose reports were measured after a
-// time, and whether there are such reports of all services.
-//
-// What goes wrong: reports from before the last action go on coming for the
-// lag, and are taken for its effect. One would notice a task throttled and
-// evicted within the lag. A service counts only by what came after.
-func worstOf(victims []interference.Victim, after time.Time) (worst *interference.Victim, all bool) {
-	all = true
+// worstVictim returns the worst service among those with reports measured
+// after a time, and whether all services have such reports. Reports from
+// before the last action keep arriving for the length of the lag; taken for
+// its effect, they would get a task throttled and evicted within one lag.
+func worstVictim(victims []interference.Victim, after time.Time) (worst *interference.Victim, allReported bool) {
+	allReported = true
 	for i := range victims {
 		v := &victims[i]
 		if !v.From.After(after) {
-			all = false
+			allReported = false
 			continue
 		}
 		if worst == nil || min(v.Level, v.Observed) > min(worst.Level, worst.Observed) {
 			worst = v
 		}
 	}
-	return worst, all
+	return worst, allReported
 }
 
-// hold throttles the batch tasks beside services to the silent percentage.
-//
-// What goes wrong: reports stop while a service suffers, and nothing protects
-// it any more, or tasks are evicted on evidence that is long past. One would
-// notice a worker in mode Conservative in the dump. A moderate throttle bounds
-// the harm at a bounded cost, and is taken back in the usual way.
-func (l *Ladder) hold(in Worker) []Action {
+// throttleUnreported throttles the batch tasks beside services to the silent
+// percentage, in mode Conservative. When reports stop while a service is slowed
+// down, the tasks are neither left alone nor evicted on outdated measurements:
+// a moderate throttle bounds the harm at a bounded cost, and is released in the
+// usual way.
+func (l *Ladder) throttleUnreported(in Worker) []Action {
 	if len(in.Victims) == 0 {
 		return nil
 	}
@@ -182,46 +182,46 @@
 	return actions
 }
 
-func (l *Ladder) protect(now time.Time, r *record, in Worker, worst *interference.Victim) []Action {
+func (l *Ladder) protect(now time.Time, r *workerRecord, in Worker, worst *interference.Victim) []Action {
 	r.mode = Protecting
-	if r.since.IsZero() {
-		r.since = now
+	if r.aboveLimitSince.IsZero() {
+		r.aboveLimitSince = now
 	}
-	if now.Sub(r.released) < relapse*l.holdOf(r) && r.released.After(r.throttled) {
+	if now.Sub(r.lastRelease) < relapseHolds*l.releaseDelay(r) && r.lastRelease.After(r.lastThrottle) {
 		r.backoff = min(r.backoff+1, maxBackoff)
 	}
-	suspects := suspectsOf(in.Tasks, worst)
-	if actions := l.throttle(suspects, worst, l.floor); len(actions) > 0 {
-		r.throttled = now
+	suspects := suspectsFor(in.Tasks, worst)
+	if actions := l.throttleSuspects(suspects, worst, l.floor); len(actions) > 0 {
+		r.lastThrottle = now
 		return actions
 	}
-	if actions := l.evict(now, suspects, worst); len(actions) > 0 {
+	if actions := l.evictSuspects(now, suspects, worst); len(actions) > 0 {
 		return actions
 	}
-	if !suffers(worst, l.severe) {
+	if !exceedsLimit(worst, l.severeLimit) {
 		return nil
 	}
-	if actions := l.throttle(suspects, worst, l.lastFloor); len(actions) > 0 {
-		r.throttled = now
+	if actions := l.throttleSuspects(suspects, worst, l.lastFloor); len(actions) > 0 {
+		r.lastThrottle = now
 		return actions
 	}
-	if action, ok := l.move(now, r, worst); ok {
+	if action, ok := l.moveService(now, r, worst); ok {
 		return []Action{action}
 	}
 	return nil
 }
 
-func (l *Ladder) move(now time.Time, r *record, worst *interference.Victim) (Action, bool) {
-	if now.Sub(r.since) < l.moveAfter {
+func (l *Ladder) moveService(now time.Time, r *workerRecord, worst *interference.Victim) (Action, bool) {
+	if now.Sub(r.aboveLimitSince) < l.moveAfter {
 		return Action{}, false
 	}
-	if !l.budget.take(now, l.window, limitOf{"service " + worst.Class, 1}) {
+	if !l.budget.take(now, l.budgetWindow, budgetLimit{"service " + worst.Class, 1}) {
 		return Action{}, false
 	}
 	return Action{Move, worst.Task, 0, "no batch task left to restrain"}, true
 }
 
-// isBatch reports whether a culprit can be throttled.
+// isBatch reports whether a culprit is a batch task, which can be throttled.
 func isBatch(c interference.Culprit) bool {
 	return c.Kind == provider.KindBatch
 }
--- a/mitigation/load.go
+++ b/mitigation/load.go
@@ -5,15 +5,13 @@
 	"slices"
 )
 
-// relieve throttles the largest batch tasks until the worker's processors
-// hold what runs.
-//
-// What goes wrong: a service's load rises and it wants back processors that
-// batch tasks were lent. All tasks then slow down together, so no pair explains
-// it. One would notice high residuals at a load above 1. The sum of measured
-// use shows it at once and without blame.
-func (l *Ladder) relieve(in Worker) []Action {
-	excess := in.Load - fullLoad
+// relieveOverload throttles the largest batch tasks until the rest fits the
+// worker's processors. When a service's load rises and it needs processors
+// that batch tasks had borrowed, all tasks slow down together, so that the
+// estimator can't attribute the slowdown to any pair of tasks. The sum of
+// measured use shows the overload at once.
+func (l *Ladder) relieveOverload(in Worker) []Action {
+	excess := in.Load - maxLoad
 	if excess <= 0 || len(in.Victims) == 0 {
 		return nil
 	}
@@ -24,13 +22,13 @@
 	var actions []Action
 	for _, t := range tasks {
 		percent := t.Percent
-		for percent > l.floor && t.Share*float64(t.Percent-percent)/full < excess {
+		for percent > l.floor && t.Share*float64(t.Percent-percent)/fullSpeed < excess {
 			percent = max(percent/2, l.floor)
 		}
 		if excess <= 0 || percent == t.Percent {
 			continue
 		}
-		excess -= t.Share * float64(t.Percent-percent) / full
+		excess -= t.Share * float64(t.Percent-percent) / fullSpeed
 		actions = append(actions, Action{Throttle, t.ID, percent, "processors overcommitted"})
 	}
 	return actions
--- a/mitigation/release.go
+++ b/mitigation/release.go
@@ -9,60 +9,59 @@
 	"github.com/dogwoodladder/dogwoodladder/interference"
 )
 
-// holdOf is how long a worker must have been quiet before a throttle is
-// taken back.
-//
-// What goes wrong: a throttle works, so it is taken back, so the service
-// rises, for ever. One would notice a task whose throttle changes with the
-// period of the lag. Each relapse doubles the time before the next attempt.
-func (l *Ladder) holdOf(r *record) time.Duration {
+// releaseDelay returns how long a worker must have had no action before a
+// throttle is released. Each relapse doubles it: otherwise a working throttle
+// would be released and applied again forever, with the period of the lag.
+func (l *Ladder) releaseDelay(r *workerRecord) time.Duration {
 	return l.holdTime << r.backoff
 }
 
-// release raises throttled tasks, the least harmful first, as far as the
-// model expects the service to stay below the target. A task that the model
-// has cleared since gets its full speed back at once; the others wait for the
-// hold time and rise by doubling. Level is that of the worst service.
-func (l *Ladder) release(now time.Time, r *record, in Worker, level float64) []Action {
-	held := now.Sub(r.acted) < l.holdOf(r)
-	if !held && r.backoff > 0 && now.Sub(r.throttled) > forgive*l.holdOf(r) {
+// releaseThrottles raises the speed of throttled tasks, the least harmful
+// first, as far as the model expects the worst service, which is at level, to
+// stay below the target. A task that the model now considers harmless returns
+// to full speed at once; the others wait for the release delay and double
+// their speed.
+func (l *Ladder) releaseThrottles(now time.Time, r *workerRecord, in Worker, level float64) []Action {
+	held := now.Sub(r.lastAction) < l.releaseDelay(r)
+	if !held && r.backoff > 0 && now.Sub(r.lastThrottle) > forgiveHolds*l.releaseDelay(r) {
 		r.backoff--
 	}
-	room := math.Log(l.target() / level)
-	spare := releaseLoad - in.Load
+	headroom := math.Log(l.target() / level)
+	spareLoad := maxReleaseLoad - in.Load
 	var actions []Action
-	for _, t := range throttled(in) {
-		harm := harmOf(in.Victims, t)
-		percent := full
+	for _, t := range throttledTasks(in) {
+		harm := maxHarm(in.Victims, t)
+		percent := fullSpeed
 		if harm >= minRelief {
-			percent = min(max(t.Percent, 1)*2, full)
+			percent = min(max(t.Percent, 1)*2, fullSpeed)
 		}
-		rise := harm * float64(percent-t.Percent) / full
-		claim := t.Share * float64(percent-t.Percent) / full
-		if rise > room || claim > spare || held && harm >= minRelief {
+		rise := harm * float64(percent-t.Percent) / fullSpeed
+		addedLoad := t.Share * float64(percent-t.Percent) / fullSpeed
+		if rise > headroom || addedLoad > spareLoad || held && harm >= minRelief {
 			break
 		}
-		room -= rise
-		spare -= claim
+		headroom -= rise
+		spareLoad -= addedLoad
 		actions = append(actions, Action{Unthrottle, t.ID, percent, "services are below the limit"})
 		if harm >= minRelief {
-			r.released = now
+			r.lastRelease = now
 		}
 	}
 	return actions
 }
 
-// throttled returns the throttled tasks by their harm, the least first.
-func throttled(in Worker) []Task {
-	list := slices.DeleteFunc(slices.Clone(in.Tasks), func(t Task) bool { return t.Percent >= full })
+// throttledTasks returns the throttled tasks ordered by their harm, least
+// first.
+func throttledTasks(in Worker) []Task {
+	list := slices.DeleteFunc(slices.Clone(in.Tasks), func(t Task) bool { return t.Percent >= fullSpeed })
 	slices.SortStableFunc(list, func(a, b Task) int {
-		return cmp.Or(cmp.Compare(harmOf(in.Victims, a), harmOf(in.Victims, b)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(maxHarm(in.Victims, a), maxHarm(in.Victims, b)), cmp.Compare(a.ID, b.ID))
 	})
 	return list
 }
 
-// harmOf returns the most harm that a task does to any service.
-func harmOf(victims []interference.Victim, t Task) float64 {
+// maxHarm returns the largest harm that a task does to any service.
+func maxHarm(victims []interference.Victim, t Task) float64 {
 	harm := 0.0
 	for _, v := range victims {
 		for _, c := range v.Culprits {
--- a/mitigation/state.go
+++ b/mitigation/state.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Mode is what the ladder does on a worker.
+// Mode is a worker's state of protection.
 type Mode int
 
 // Modes of a worker.
@@ -16,18 +16,18 @@
 	Conservative             // reports stopped
 )
 
-// record is what the ladder remembers of a worker.
-type record struct {
-	mode      Mode
-	seen      time.Time // last decision
-	acted     time.Time // last action
-	throttled time.Time
-	released  time.Time
-	since     time.Time // a service is above the limit since then
-	backoff   int
+// workerRecord is the state that a Ladder keeps of a worker.
+type workerRecord struct {
+	mode            Mode
+	lastDecision    time.Time
+	lastAction      time.Time
+	lastThrottle    time.Time
+	lastRelease     time.Time
+	aboveLimitSince time.Time // zero while no service is above the limit
+	backoff         int       // doublings of the hold time
 }
 
-// WorkerState is the dump of a worker's record.
+// WorkerState describes a worker's record for dumps.
 type WorkerState struct {
 	Worker  string        `json:"worker"`
 	Mode    string        `json:"mode"`
@@ -36,41 +36,42 @@
 	Backoff int           `json:"backoff"`
 }
 
-// State returns a dump of the workers that aren't merely watched, in order.
+// State returns the workers that are not merely watched, ordered by ID, for
+// dumps.
 func (l *Ladder) State() []WorkerState {
 	list := []WorkerState{}
 	for name, r := range l.workers {
 		if r.mode != Watching || r.backoff > 0 {
-			list = append(list, WorkerState{name, r.mode.String(), r.acted, l.holdOf(r), r.backoff})
+			list = append(list, WorkerState{name, r.mode.String(), r.lastAction, l.releaseDelay(r), r.backoff})
 		}
 	}
 	slices.SortFunc(list, func(a, b WorkerState) int { return strings.Compare(a.Worker, b.Worker) })
 	return list
 }
 
-func (l *Ladder) record(now time.Time, worker string) *record {
+func (l *Ladder) recordFor(now time.Time, worker string) *workerRecord {
 	r := l.workers[worker]
 	if r == nil {
-		r = &record{}
+		r = &workerRecord{}
 		l.workers[worker] = r
 	}
-	r.seen = now
+	r.lastDecision = now
 	return r
 }
 
-// sweep forgets workers that weren't decided on for an hour, and evictions
-// that left the budget's window.
-func (l *Ladder) sweep(now time.Time) {
-	if now.Sub(l.swept) < l.window {
+// prune drops workers without a decision for an hour, and evictions older than
+// the budget's window.
+func (l *Ladder) prune(now time.Time) {
+	if now.Sub(l.lastPrune) < l.budgetWindow {
 		return
 	}
-	l.swept = now
+	l.lastPrune = now
 	for name, r := range l.workers {
-		if now.Sub(r.seen) > forgetAfter {
+		if now.Sub(r.lastDecision) > forgetAfter {
 			delete(l.workers, name)
 		}
 	}
-	l.budget.sweep(now.Add(-l.window))
+	l.budget.prune(now.Add(-l.budgetWindow))
 }
 
 // budget counts evictions in a sliding window.
@@ -78,17 +79,17 @@
 	spent map[string][]time.Time
 }
 
-// limitOf is how many may be spent under a name in a window.
-type limitOf struct {
+// budgetLimit is the number of uses allowed under a name within a window.
+type budgetLimit struct {
 	name string
-	most int
+	max  int
 }
 
-// take spends one under each name, or nothing when any is used up.
-func (b *budget) take(now time.Time, window time.Duration, limits ...limitOf) bool {
+// take counts one use under each name, or none when any limit is reached.
+func (b *budget) take(now time.Time, window time.Duration, limits ...budgetLimit) bool {
 	for _, limit := range limits {
 		b.trim(limit.name, now.Add(-window))
-		if len(b.spent[limit.name]) >= limit.most {
+		if len(b.spent[limit.name]) >= limit.max {
 			return false
 		}
 	}
@@ -107,7 +108,7 @@
 	b.spent[name] = kept
 }
 
-func (b *budget) sweep(horizon time.Time) {
+func (b *budget) prune(horizon time.Time) {
 	for name := range b.spent {
 		b.trim(name, horizon)
 	}
--- a/mitigation/suspect.go
+++ b/mitigation/suspect.go
@@ -9,21 +9,22 @@
 	"github.com/dogwoodladder/dogwoodladder/interference"
 )
 
-// suspect is a batch task with its part in a service's slowdown.
+// suspect is a batch task with its contribution to a service's slowdown.
 type suspect struct {
 	Task
 	harm       float64 // logarithm of the slowdown at full speed
 	confidence float64
 }
 
-// relief is how much the logarithm of the slowdown falls when the task goes
-// from one percentage to another.
+// relief returns by how much the logarithm of the slowdown falls when the
+// task's speed changes from one percentage to another.
 func (s suspect) relief(from, to int) float64 {
-	return s.harm * float64(from-to) / full
+	return s.harm * float64(from-to) / fullSpeed
 }
 
-// suspectsOf returns the tasks by the harm they do now, the largest first.
-func suspectsOf(tasks []Task, worst *interference.Victim) []suspect {
+// suspectsFor returns the tasks that harm a service, ordered by their current
+// harm, largest first.
+func suspectsFor(tasks []Task, worst *interference.Victim) []suspect {
 	var list []suspect
 	for _, t := range tasks {
 		i := slices.IndexFunc(worst.Culprits, func(c interference.Culprit) bool {
@@ -43,9 +44,10 @@
 	return list
 }
 
-// throttle halves the speed of suspects, down to a floor, until the expected
-// relief covers the excess. A task that explains nothing is left alone.
-func (l *Ladder) throttle(suspects []suspect, worst *interference.Victim, floor int) []Action {
+// throttleSuspects halves the speed of suspects, down to a floor, until the
+// expected relief covers the excess. Tasks without a noticeable relief are
+// left alone.
+func (l *Ladder) throttleSuspects(suspects []suspect, worst *interference.Victim, floor int) []Action {
 	var actions []Action
 	excess := math.Log(worst.Level / l.target())
 	for _, s := range suspects {
@@ -66,30 +68,29 @@
 	return actions
 }
 
-// target is the level that throttles aim at: between the two limits.
+// target returns the level that throttles aim for, halfway between the two
+// limits.
 func (l *Ladder) target() float64 {
 	return (l.limit + l.releaseLimit) / 2
 }
 
-// evict returns the evictions that cover the excess, preferring the least
-// lost work among tasks that relieve the service about as well.
-//
-// What goes wrong: an eviction throws work away and the service suffers on,
-// since another task was to blame or the victim was about to end. One would
-// notice evictions without a fall of the tail. The gain, as far as the estimate
-// is sure of it and as long as the task would still run, must exceed the cost.
-func (l *Ladder) evict(now time.Time, suspects []suspect, worst *interference.Victim) []Action {
-	worth := slices.DeleteFunc(slices.Clone(suspects), func(s suspect) bool {
+// evictSuspects returns the evictions that cover the excess, preferring the
+// least lost work among tasks with a similar relief. An eviction loses work
+// without helping the service when another task was the cause or the evicted
+// one was about to end. Its gain, weighted by the estimate's confidence and
+// the task's remaining time, must therefore exceed its cost.
+func (l *Ladder) evictSuspects(now time.Time, suspects []suspect, worst *interference.Victim) []Action {
+	candidates := slices.DeleteFunc(slices.Clone(suspects), func(s suspect) bool {
 		return s.relief(s.Percent, 0) < minRelief || l.gain(s) <= l.cost(s)
 	})
-	slices.SortStableFunc(worth, byWorth)
+	slices.SortStableFunc(candidates, compareEvictions)
 	excess := math.Log(worst.Level / l.target())
 	var actions []Action
-	for _, s := range worth {
+	for _, s := range candidates {
 		if excess <= 0 {
 			break
 		}
-		if !l.afford(now, s.Task) {
+		if !l.takeEvictionBudget(now, s.Task) {
 			continue
 		}
 		excess -= s.relief(s.Percent, 0)
@@ -98,9 +99,10 @@
 	return actions
 }
 
-// byWorth puts the larger class of harm first, and the least lost work first
-// within a class. Harms within a factor of two are one class.
-func byWorth(a, b suspect) int {
+// compareEvictions orders suspects by class of harm, largest first, and within
+// a class by lost work, least first. Harms within a factor of two form one
+// class.
+func compareEvictions(a, b suspect) int {
 	return cmp.Or(
 		cmp.Compare(harmClass(b), harmClass(a)),
 		cmp.Compare(a.Lost, b.Lost),
@@ -112,11 +114,11 @@
 	return math.Floor(math.Log2(s.relief(s.Percent, 0)))
 }
 
-// gain is what an eviction is worth in work time: the service's relief and
-// the speed that the task gets back elsewhere.
+// gain returns the value of an eviction in work time: the relief of the
+// service and the speed that the task regains elsewhere.
 func (l *Ladder) gain(s suspect) time.Duration {
 	weight := l.tailWeight * s.confidence * s.relief(s.Percent, 0)
-	weight += float64(full-s.Percent) / full
+	weight += float64(fullSpeed-s.Percent) / fullSpeed
 	return time.Duration(weight * float64(s.Remaining))
 }
 
@@ -124,8 +126,8 @@
 	return l.evictionCost + s.Lost
 }
 
-func (l *Ladder) afford(now time.Time, t Task) bool {
-	return l.budget.take(now, l.window,
-		limitOf{"job " + t.Group + "/" + t.Job, l.jobBudget},
-		limitOf{"group " + t.Group, l.groupBudget})
+func (l *Ladder) takeEvictionBudget(now time.Time, t Task) bool {
+	return l.budget.take(now, l.budgetWindow,
+		budgetLimit{"job " + t.Group + "/" + t.Job, l.jobBudget},
+		budgetLimit{"group " + t.Group, l.groupBudget})
 }
