--- a/share/reservation.go
+++ b/share/reservation.go
@@ -7,73 +7,73 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// guard keeps what a waiting task needs from tasks that come after it.
-//
-// Small tasks that fill every gap keep a large one waiting for ever: it would
-// be seen in the queue with a growing age while its group and the workers are
-// busy. A guard lets a later task pass only if the waiting one can't lose by
-// it, even when run times are wrong by the error factor.
+// guard protects what a waiting task needs from later tasks. Otherwise small
+// tasks that fill every gap could delay a large one forever. A later task
+// passes only if the waiting one can't be delayed by it, even when run times
+// are wrong by the error factor.
 type guard struct {
-	need  resource.Vector
-	early time.Time // the waiting task can't start before
+	need          resource.Vector
+	earliestStart time.Time // the waiting task can't start before
 }
 
-// allows reports whether t may take part of free: it needs no more than the
-// waiting task leaves of it now, or it ends for sure before the waiting task
-// can start.
+// allows reports whether t may use part of free: either t fits into what the
+// waiting task leaves of it now, or t surely ends before the waiting task can
+// start.
 func (g *guard) allows(t *task, free resource.Vector, sel *selection) bool {
 	if g == nil {
 		return true
 	}
-	if t.Need.Fits(rest(free, g.need)) {
+	if t.Need.Fits(remainder(free, g.need)) {
 		return true
 	}
 	longest := t.Duration * time.Duration(sel.scheduler.errorFactor)
-	return t.Duration > 0 && !sel.now.Add(longest).After(g.early)
+	return t.Duration > 0 && !sel.now.Add(longest).After(g.earliestStart)
 }
 
-// guardLimit keeps the room in the group's limit that t waits for. The first
-// task of the group that could not start has gone before.
+// guardLimit guards the part of the group's limit that t waits for, unless an
+// earlier task of the group is already guarded.
 func (sel *selection) guardLimit(g *group, t *task) {
 	if g.guard == nil {
-		g.guard = &guard{need: t.Need, early: sel.earlyLimit(g, t.Need)}
+		g.guard = &guard{need: t.Need, earliestStart: sel.earliestLimitStart(g, t.Need)}
 	}
 }
 
-// block guards what t needs: its part of the group's limit, and a worker if a
-// reservation is left. A task that no worker can ever hold guards nothing.
-func (sel *selection) block(g *group, t *task) {
+// guardBlocked guards what t needs: its part of the group's limit, and a
+// worker if a reservation is left. A task that no worker can ever hold guards
+// nothing.
+func (sel *selection) guardBlocked(g *group, t *task) {
 	if g.guard != nil {
 		return
 	}
-	w := sel.soonest(t)
+	w := sel.earliestWorker(t)
 	if w == nil {
 		return
 	}
-	g.guard = &guard{need: t.Need, early: sel.now}
-	if g.reserved {
+	g.guard = &guard{need: t.Need, earliestStart: sel.now}
+	if g.hasReservation {
 		return
 	}
-	if w.guard == nil && len(sel.held) < sel.limit {
+	if w.guard == nil && len(sel.reserved) < sel.maxReservations {
 		sel.reserve(g, t, w)
-		g.guard.early = w.guard.early
+		g.guard.earliestStart = w.guard.earliestStart
 	}
 }
 
-// soonest returns the worker on which t is expected to start first, without
-// those that are reserved unless all are, and nil when none can ever hold it.
-func (sel *selection) soonest(t *task) *worker {
+// earliestWorker returns the worker on which t is expected to start first. It
+// returns a reserved worker only if no other one can hold t, and nil if none
+// can.
+func (sel *selection) earliestWorker(t *task) *worker {
 	var best, reserved *worker
 	var earliest time.Time
 	for _, w := range sel.workers {
-		if !t.Need.Fits(w.whole) {
+		if !t.Need.Fits(w.total) {
 			continue
 		}
 		if w.guard != nil {
 			reserved = w
 			continue
 		}
-		start := sel.start(w.free, t.Need, w.running, sel.expectedEnd)
+		start := sel.startTime(w.free, t.Need, w.running, sel.expectedEnd)
 		if best == nil || start.Before(earliest) {
 			best, earliest = w, start
 		}
@@ -86,48 +86,46 @@
 
 func (sel *selection) reserve(g *group, t *task, w *worker) {
 	running := slices.Clone(w.running)
-	slices.SortFunc(running, func(a, b Running) int { return sel.earlyEnd(a).Compare(sel.earlyEnd(b)) })
-	w.guard = &guard{need: t.Need, early: sel.start(w.free, t.Need, running, sel.earlyEnd)}
-	w.holder = t.ID
-	g.reserved = true
-	sel.held[t.ID] = w.ID
-}
-
-// restore brings back the reservations of an earlier call.
-//
-// A reservation that was chosen anew each time could move to another worker
-// with every wrong guess of a run time, and the worker it left would be filled:
-// the task waits on although it holds a reservation all the time. So it keeps
-// the worker until it starts, its group's limit is used up, or the worker is
-// gone.
-func (sel *selection) restore(qualifies func(*task) bool) {
-	for _, t := range sel.before {
-		w := sel.find(sel.scheduler.held[t.ID])
-		g := sel.group(t.Group)
-		if !qualifies(t) || w == nil || g.reserved || w.guard != nil || len(sel.held) >= sel.limit {
+	slices.SortFunc(running, func(a, b Running) int { return sel.earliestEnd(a).Compare(sel.earliestEnd(b)) })
+	w.guard = &guard{need: t.Need, earliestStart: sel.startTime(w.free, t.Need, running, sel.earliestEnd)}
+	w.reservedFor = t.ID
+	g.hasReservation = true
+	sel.reserved[t.ID] = w.ID
+}
+
+// restoreReservations restores the reservations of an earlier call. If a
+// reservation were chosen anew in each call, it could move to another worker
+// with every wrong estimate of a run time while the previous worker is filled,
+// and the task would never start. It therefore keeps its worker until it
+// starts, its group's limit is used up, or the worker is gone.
+func (sel *selection) restoreReservations(qualifies func(*task) bool) {
+	for _, t := range sel.previouslyReserved {
+		w := sel.findWorker(sel.scheduler.reserved[t.ID])
+		g := sel.findGroup(t.Group)
+		if !qualifies(t) || w == nil || g.hasReservation || w.guard != nil || len(sel.reserved) >= sel.maxReservations {
 			continue
 		}
-		if t.Need.Fits(w.whole) && t.Need.Fits(g.Limit.Sub(g.Used)) {
+		if t.Need.Fits(w.total) && t.Need.Fits(g.Limit.Sub(g.Used)) {
 			sel.reserve(g, t, w)
 		}
 	}
 }
 
-// release ends the reservation of t when it has one.
-func (sel *selection) release(g *group, t *task) {
-	id, held := sel.held[t.ID]
+// releaseReservation ends the reservation of t if it has one.
+func (sel *selection) releaseReservation(g *group, t *task) {
+	id, held := sel.reserved[t.ID]
 	if !held {
 		return
 	}
-	w := sel.find(id)
-	w.guard, w.holder = nil, ""
-	g.reserved = false
-	delete(sel.held, t.ID)
+	w := sel.findWorker(id)
+	w.guard, w.reservedFor = nil, ""
+	g.hasReservation = false
+	delete(sel.reserved, t.ID)
 }
 
-// start returns when need fits, if the running tasks end in the given order
-// at the given times.
-func (sel *selection) start(free, need resource.Vector, running []Running, end func(Running) time.Time) time.Time {
+// startTime returns when need fits, if the running tasks end in the given
+// order at the given times.
+func (sel *selection) startTime(free, need resource.Vector, running []Running, end func(Running) time.Time) time.Time {
 	at := sel.now
 	for _, r := range running {
 		if need.Fits(free) {
@@ -139,32 +137,33 @@
 	return at
 }
 
-// earlyLimit returns when the group's limit can have room for need at the
-// earliest. Whatever the group holds that isn't running may end at any time.
-func (sel *selection) earlyLimit(g *group, need resource.Vector) time.Time {
+// earliestLimitStart returns the earliest time at which need can fit the
+// group's limit. What the group uses without running may end at any time.
+func (sel *selection) earliestLimitStart(g *group, need resource.Vector) time.Time {
 	running := slices.Clone(g.running)
-	slices.SortFunc(running, func(a, b Running) int { return sel.earlyEnd(a).Compare(sel.earlyEnd(b)) })
+	slices.SortFunc(running, func(a, b Running) int { return sel.earliestEnd(a).Compare(sel.earliestEnd(b)) })
 	free := g.Limit
 	for _, r := range running {
 		free = free.Sub(r.Need)
 	}
-	return sel.start(free, need, running, sel.earlyEnd)
+	return sel.startTime(free, need, running, sel.earliestEnd)
 }
 
-// expectedEnd returns when r should end, which is now when it is overdue.
+// expectedEnd returns when r is expected to end, which is now when it is
+// overdue.
 func (sel *selection) expectedEnd(r Running) time.Time {
 	if r.Duration == 0 {
-		return sel.now.Add(sel.scheduler.duration)
+		return sel.now.Add(sel.scheduler.assumedDuration)
 	}
-	return latest(sel.now, r.Started.Add(r.Duration))
+	return later(sel.now, r.Started.Add(r.Duration))
 }
 
-// earlyEnd returns when r can end at the earliest.
-func (sel *selection) earlyEnd(r Running) time.Time {
-	return latest(sel.now, r.Started.Add(r.Duration/time.Duration(sel.scheduler.errorFactor)))
+// earliestEnd returns the earliest time at which r can end.
+func (sel *selection) earliestEnd(r Running) time.Time {
+	return later(sel.now, r.Started.Add(r.Duration/time.Duration(sel.scheduler.errorFactor)))
 }
 
-func (sel *selection) find(id string) *worker {
+func (sel *selection) findWorker(id string) *worker {
 	for _, w := range sel.workers {
 		if w.ID == id {
 			return w
@@ -173,7 +172,7 @@
 	return nil
 }
 
-func (sel *selection) group(name string) *group {
+func (sel *selection) findGroup(name string) *group {
 	for _, g := range sel.groups {
 		if g.Name == name {
 			return g
@@ -182,8 +181,8 @@
 	return nil
 }
 
-// rest returns what need leaves of free, and none of what it lacks.
-func rest(free, need resource.Vector) resource.Vector {
+// remainder returns what need leaves of free, without negative components.
+func remainder(free, need resource.Vector) resource.Vector {
 	left := free.Sub(need)
 	return resource.Vector{
 		Processors:   max(left.Processors, 0),
@@ -192,7 +191,7 @@
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/share/selection.go
+++ b/share/selection.go
@@ -11,48 +11,48 @@
 
 // selection is the state of one call of Select.
 type selection struct {
-	scheduler *Scheduler
-	now       time.Time
-	groups    []*group // by name
-	workers   []*worker
-	limit     int               // of reservations
-	before    []*task           // tasks with a reservation from an earlier call
-	held      map[string]string // worker by task, from this call on
-	choices   []Choice
+	scheduler          *Scheduler
+	now                time.Time
+	groups             []*group // sorted by name
+	workers            []*worker
+	maxReservations    int
+	previouslyReserved []*task           // tasks with a reservation from an earlier call
+	reserved           map[string]string // worker by task, kept for the next call
+	choices            []Choice
 }
 
-// task is a queued task with its place in the order of its group.
+// task is a queued task with its position in the order of its group.
 type task struct {
 	*Task
-	rank     int64 // time of submission, less the aging time when urgent
+	rank     int64 // submission time in nanoseconds, less the aging time when urgent
 	pressing bool
 }
 
 type group struct {
 	Group
-	queue    []*task
-	running  []Running
-	next     int     // in queue
-	share    float64 // dominant share of the limit
-	guard    *guard  // of the first task that could not start
-	reserved bool
+	queue          []*task
+	running        []Running
+	next           int     // index in queue
+	share          float64 // dominant share of the limit
+	guard          *guard  // for the first task that could not start
+	hasReservation bool
 }
 
 type worker struct {
-	ID      string
-	free    resource.Vector
-	whole   resource.Vector // free once all that runs has ended
-	running []Running       // by expected end
-	guard   *guard          // of the reservation
-	holder  string          // task with the reservation
+	ID          string
+	free        resource.Vector
+	total       resource.Vector // free once all running tasks have ended
+	running     []Running       // sorted by expected end
+	guard       *guard          // for the task in reservedFor
+	reservedFor string          // task with the reservation
 }
 
 func newSelection(s *Scheduler, now time.Time, in Input) *selection {
 	sel := &selection{
-		scheduler: s,
-		now:       now,
-		limit:     min(s.reservations, max(1, len(in.Workers)/4)),
-		held:      map[string]string{},
+		scheduler:       s,
+		now:             now,
+		maxReservations: min(s.maxReservations, max(1, len(in.Workers)/4)),
+		reserved:        map[string]string{},
 	}
 	index := make(map[string]*group, len(in.Groups))
 	for _, g := range in.Groups {
@@ -68,9 +68,9 @@
 
 func (sel *selection) addWorkers(workers []Worker, groups map[string]*group) {
 	for _, w := range workers {
-		state := &worker{ID: w.ID, free: w.Free, whole: w.Free, running: slices.Clone(w.Running)}
+		state := &worker{ID: w.ID, free: w.Free, total: w.Free, running: slices.Clone(w.Running)}
 		for _, r := range w.Running {
-			state.whole = state.whole.Add(r.Need)
+			state.total = state.total.Add(r.Need)
 			if g := groups[r.Group]; g != nil {
 				g.running = append(g.running, r)
 			}
@@ -83,8 +83,8 @@
 	slices.SortFunc(sel.workers, func(a, b *worker) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// addTasks queues the tasks that can ever run within their group's limit. The
-// others must not hold up the group.
+// addTasks queues the tasks that fit their group's limit. The others can never
+// run and must not block the group.
 func (sel *selection) addTasks(queue []Task, groups map[string]*group) {
 	pressing := sel.now.Add(-sel.scheduler.aging).UnixNano()
 	tasks := make([]task, len(queue))
@@ -104,18 +104,18 @@
 	}
 	for _, g := range sel.groups {
 		slices.SortFunc(g.queue, byRank)
-		sel.findHeld(g)
+		sel.collectReserved(g)
 	}
-	slices.SortFunc(sel.before, byRank)
+	slices.SortFunc(sel.previouslyReserved, byRank)
 }
 
-func (sel *selection) findHeld(g *group) {
-	if len(sel.scheduler.held) == 0 {
+func (sel *selection) collectReserved(g *group) {
+	if len(sel.scheduler.reserved) == 0 {
 		return
 	}
 	for _, t := range g.queue {
-		if _, held := sel.scheduler.held[t.ID]; held {
-			sel.before = append(sel.before, t)
+		if _, held := sel.scheduler.reserved[t.ID]; held {
+			sel.previouslyReserved = append(sel.previouslyReserved, t)
 		}
 	}
 }
@@ -124,41 +124,43 @@
 	return cmp.Or(cmp.Compare(a.rank, b.rank), strings.Compare(a.ID, b.ID))
 }
 
-// pass tries each task that qualifies, always one of the group with the least
-// share. Those that qualify come first in their queues.
-func (sel *selection) pass(qualifies func(*task) bool) {
+// startQualifying tries to start each task that qualifies, always from the
+// group with the lowest share. Tasks that qualify must precede the others in
+// their group's queue.
+func (sel *selection) startQualifying(qualifies func(*task) bool) {
 	for {
-		g := sel.least(qualifies)
+		g := sel.lowestShareGroup(qualifies)
 		if g == nil {
 			return
 		}
 		started := false
-		for !started && g.waits(qualifies) {
+		for !started && g.nextQualifies(qualifies) {
 			t := g.queue[g.next]
 			g.next++
-			started = sel.try(g, t)
+			started = sel.tryStart(g, t)
 		}
 	}
 }
 
-// least returns the group with the least share whose next task qualifies.
-func (sel *selection) least(qualifies func(*task) bool) *group {
+// lowestShareGroup returns the group with the lowest share among those whose
+// next task qualifies.
+func (sel *selection) lowestShareGroup(qualifies func(*task) bool) *group {
 	var least *group
 	for _, g := range sel.groups {
-		if g.waits(qualifies) && (least == nil || g.share < least.share) {
+		if g.nextQualifies(qualifies) && (least == nil || g.share < least.share) {
 			least = g
 		}
 	}
 	return least
 }
 
-func (g *group) waits(qualifies func(*task) bool) bool {
+func (g *group) nextQualifies(qualifies func(*task) bool) bool {
 	return g.next < len(g.queue) && qualifies(g.queue[g.next])
 }
 
-// try puts t on a worker, or guards what it needs if it is the first of its
-// group that can't start. It reports whether t starts.
-func (sel *selection) try(g *group, t *task) bool {
+// tryStart assigns t to a worker, or guards what it needs if it is the first
+// of its group that can't start. It reports whether t starts.
+func (sel *selection) tryStart(g *group, t *task) bool {
 	left := g.Limit.Sub(g.Used)
 	if !g.guard.allows(t, left, sel) {
 		return false
@@ -167,29 +169,29 @@
 		sel.guardLimit(g, t)
 		return false
 	}
-	w := sel.room(t)
+	w := sel.bestFit(t)
 	if w == nil {
-		sel.block(g, t)
+		sel.guardBlocked(g, t)
 		return false
 	}
-	sel.put(g, t, w)
+	sel.assign(g, t, w)
 	return true
 }
 
-// room returns the worker that t fits most closely, so that large gaps stay
-// whole, and rather one without accelerators for a task that needs none.
-func (sel *selection) room(t *task) *worker {
+// bestFit returns the worker that t fits most closely, so that large gaps stay
+// whole. For a task that needs no accelerators it prefers workers without any.
+func (sel *selection) bestFit(t *task) *worker {
 	var best *worker
 	var lowest float64
 	for _, w := range sel.workers {
 		if !t.Need.Fits(w.free) {
 			continue
 		}
-		if w.holder != t.ID && !w.guard.allows(t, w.free, sel) {
+		if w.reservedFor != t.ID && !w.guard.allows(t, w.free, sel) {
 			continue
 		}
-		left := w.free.Sub(t.Need).Dominant(w.whole)
-		if t.Need.Accelerators == 0 && w.whole.Accelerators > 0 {
+		left := w.free.Sub(t.Need).Dominant(w.total)
+		if t.Need.Accelerators == 0 && w.total.Accelerators > 0 {
 			left++
 		}
 		if best == nil || left < lowest {
@@ -199,7 +201,7 @@
 	return best
 }
 
-func (sel *selection) put(g *group, t *task, w *worker) {
+func (sel *selection) assign(g *group, t *task, w *worker) {
 	sel.choices = append(sel.choices, Choice{Task: t.ID, Worker: w.ID})
 	g.Used = g.Used.Add(t.Need)
 	g.share = g.Used.Dominant(g.Limit)
@@ -210,5 +212,5 @@
 		return sel.expectedEnd(a).Compare(sel.expectedEnd(b))
 	})
 	w.running = slices.Insert(w.running, at, started)
-	sel.release(g, t)
+	sel.releaseReservation(g, t)
 }
--- a/share/share.go
+++ b/share/share.go
@@ -1,5 +1,5 @@
-// Package share orders the queue of one availability zone: which tasks to
-// claim now, and on which worker to put each.
+// Package share schedules the queue of one availability zone: it selects the
+// tasks to claim now and the worker for each.
 //
 // Usage:
 //
@@ -8,21 +8,22 @@
 //		claim(choice.Task, choice.Worker)
 //	}
 //
-// The group with the least dominant share of its limit goes first. Within a
-// group tasks go in the order of their submission, an urgent one as if it had
-// been submitted earlier by the aging time. Pressing tasks, which are urgent
-// or have waited for the aging time, go before all others in every group. So
-// no task submitted more than the aging time after another of its group goes
-// before it, unless it does the other no harm.
+// The group with the lowest dominant share of its limit goes first. Within a
+// group tasks are ordered by submission time, with urgent tasks moved ahead by
+// the aging time. Pressing tasks, which are urgent or have waited for the
+// aging time, go before all others in every group. A task submitted more than
+// the aging time after another one of its group therefore only starts first
+// when that doesn't delay the other one.
 //
-// A task that finds no room gets a reservation on the worker where it is
-// expected to start first, at most one for each group. Others may use that
-// worker only in ways that can't delay it, even when run times are wrong by
-// the error factor; the same holds for the rest of its group's limit. It starts
-// at the latest when all that ran on the worker at the time has ended. This
-// bound holds for as many groups at once as there are reservations.
+// A task that fits no worker gets a reservation on the worker where it is
+// expected to start first, at most one per group. Other tasks may use that
+// worker only in ways that can't delay the reserved task, even when run times
+// are wrong by the error factor; the same holds for the rest of its group's
+// limit. The task starts at the latest when everything that ran on the worker
+// at the time of the reservation has ended. This bound holds for as many
+// groups at once as there are reservations.
 //
-// Select depends on its input and on the reservations of earlier calls alone.
+// Select depends only on its input and on the reservations of earlier calls.
 package share
 
 import (
@@ -38,19 +39,19 @@
 	Need      resource.Vector
 	Urgent    bool
 	Submitted time.Time
-	Duration  time.Duration // expected run time; zero when not known
+	Duration  time.Duration // expected run time; zero when unknown
 }
 
-// Group is what a group may hold in the zone and what it holds, tasks that
-// are claimed but not started among it.
+// Group is a group's limit in the zone and its use, including tasks that are
+// claimed but not started.
 type Group struct {
 	Name  string
 	Limit resource.Vector
 	Used  resource.Vector
 }
 
-// Worker is a worker that tasks may be put on. Free is what neither services
-// nor batch tasks hold.
+// Worker is a worker that tasks may be assigned to. Free is its capacity that
+// neither services nor batch tasks use.
 type Worker struct {
 	ID      string
 	Free    resource.Vector
@@ -62,17 +63,17 @@
 	Group    string
 	Need     resource.Vector
 	Started  time.Time
-	Duration time.Duration // expected run time; zero when not known
+	Duration time.Duration // expected run time; zero when unknown
 }
 
-// Input is the state of a zone that Select decides on.
+// Input is the state of a zone on which Select decides.
 type Input struct {
 	Queue   []Task
 	Groups  []Group
 	Workers []Worker
 }
 
-// Choice puts a task on a worker.
+// Choice assigns a task to a worker.
 type Choice struct {
 	Task   string
 	Worker string
@@ -86,49 +87,49 @@
 	DefaultDuration     = time.Hour
 )
 
-// Scheduler selects tasks. It holds as many names of tasks and workers as
-// there are reservations. It isn't safe for concurrent use.
+// Scheduler selects tasks. Its memory is bounded by the number of
+// reservations. It isn't safe for concurrent use.
 type Scheduler struct {
-	aging        time.Duration
-	errorFactor  int
-	reservations int
-	duration     time.Duration
-	held         map[string]string // worker by task
+	aging           time.Duration
+	errorFactor     int
+	maxReservations int
+	assumedDuration time.Duration
+	reserved        map[string]string // worker by task
 }
 
-// Option changes a Scheduler.
+// Option configures a Scheduler.
 type Option func(*Scheduler)
 
-// WithAging sets how long a task waits until it counts as urgent.
+// WithAging sets how long a task waits until it is treated as urgent.
 func WithAging(d time.Duration) Option {
 	return func(s *Scheduler) { s.aging = d }
 }
 
-// WithErrorFactor sets how many times longer or shorter than expected a task
-// may run.
+// WithErrorFactor sets by which factor a run time may be longer or shorter
+// than expected.
 func WithErrorFactor(n int) Option {
 	return func(s *Scheduler) { s.errorFactor = max(n, 1) }
 }
 
-// WithReservations bounds the reservations. They never take more than a
-// quarter of the workers, but for one.
+// WithReservations bounds the number of reservations. They never take more
+// than a quarter of the workers, except that one is always allowed.
 func WithReservations(n int) Option {
-	return func(s *Scheduler) { s.reservations = n }
+	return func(s *Scheduler) { s.maxReservations = n }
 }
 
-// WithDuration sets the run time that is assumed of a running task whose run
-// time isn't known, when a worker is chosen for a reservation.
+// WithDuration sets the run time assumed for running tasks with an unknown
+// one, when a worker is chosen for a reservation.
 func WithDuration(d time.Duration) Option {
-	return func(s *Scheduler) { s.duration = d }
+	return func(s *Scheduler) { s.assumedDuration = d }
 }
 
-// New returns a new Scheduler that has no reservations.
+// New returns a Scheduler without reservations.
 func New(options ...Option) *Scheduler {
 	s := &Scheduler{
-		aging:        DefaultAging,
-		errorFactor:  DefaultErrorFactor,
-		reservations: DefaultReservations,
-		duration:     DefaultDuration,
+		aging:           DefaultAging,
+		errorFactor:     DefaultErrorFactor,
+		maxReservations: DefaultReservations,
+		assumedDuration: DefaultDuration,
 	}
 	for _, option := range options {
 		option(s)
@@ -136,14 +137,15 @@
 	return s
 }
 
-// Select returns the tasks to claim now, first things first. Each choice
-// fits its worker and its group's limit together with all before it.
+// Select returns the tasks to claim now, in the order of their selection. Each
+// choice fits its worker and its group's limit together with all choices
+// before it.
 func (s *Scheduler) Select(now time.Time, in Input) []Choice {
 	sel := newSelection(s, now, in)
-	sel.restore(func(t *task) bool { return t.pressing })
-	sel.pass(func(t *task) bool { return t.pressing })
-	sel.restore(func(t *task) bool { return !t.pressing })
-	sel.pass(func(*task) bool { return true })
-	s.held = sel.held
+	sel.restoreReservations(func(t *task) bool { return t.pressing })
+	sel.startQualifying(func(t *task) bool { return t.pressing })
+	sel.restoreReservations(func(t *task) bool { return !t.pressing })
+	sel.startQualifying(func(*task) bool { return true })
+	s.reserved = sel.reserved
 	return sel.choices
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -14,44 +14,44 @@
 
 var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// zone is a small model of a zone: it starts what Select chose and ends it
-// after the true run time, which the scheduler doesn't know.
-type zone struct {
-	t         *testing.T
-	now       time.Time
-	scheduler *Scheduler
-	in        Input
-	truth     map[string]time.Duration // true run time by task
-	ends      [][]time.Time            // by worker, beside Running
-	started   map[string]time.Time
+// simulatedZone is a simple model of a zone: it starts what Select chose and
+// ends it after its true run time, which the scheduler doesn't know.
+type simulatedZone struct {
+	t            *testing.T
+	now          time.Time
+	scheduler    *Scheduler
+	in           Input
+	trueDuration map[string]time.Duration // run time by task
+	endTimes     [][]time.Time            // by worker, parallel to Worker.Running
+	started      map[string]time.Time
 }
 
-func newZone(t *testing.T, workers int, whole resource.Vector, groups ...Group) *zone {
-	z := &zone{
-		t:         t,
-		now:       epoch,
-		scheduler: New(),
-		in:        Input{Groups: groups},
-		truth:     map[string]time.Duration{},
-		ends:      make([][]time.Time, workers),
-		started:   map[string]time.Time{},
+func newSimulatedZone(t *testing.T, workers int, total resource.Vector, groups ...Group) *simulatedZone {
+	z := &simulatedZone{
+		t:            t,
+		now:          epoch,
+		scheduler:    New(),
+		in:           Input{Groups: groups},
+		trueDuration: map[string]time.Duration{},
+		endTimes:     make([][]time.Time, workers),
+		started:      map[string]time.Time{},
 	}
 	for i := range workers {
-		z.in.Workers = append(z.in.Workers, Worker{ID: fmt.Sprintf("w%02d", i), Free: whole})
+		z.in.Workers = append(z.in.Workers, Worker{ID: fmt.Sprintf("w%02d", i), Free: total})
 	}
 	return z
 }
 
-func (z *zone) submit(group string, processors int64, urgent bool, declared, truth time.Duration) string {
-	id := fmt.Sprintf("%s-%04d", group, len(z.truth))
-	z.truth[id] = truth
+func (z *simulatedZone) submit(group string, processors int64, urgent bool, declared, truth time.Duration) string {
+	id := fmt.Sprintf("%s-%04d", group, len(z.trueDuration))
+	z.trueDuration[id] = truth
 	z.in.Queue = append(z.in.Queue, Task{ID: id, Group: group, Need: cores(processors), Urgent: urgent, Submitted: z.now, Duration: declared})
 	return id
 }
 
-// step ends what is due, starts what Select chooses and checks that no worker
-// and no group gets more than it may hold.
-func (z *zone) step(d time.Duration) {
+// advance ends tasks that are due, starts what Select chooses and checks that
+// no worker and no group exceeds its capacity or limit.
+func (z *simulatedZone) advance(d time.Duration) {
 	z.now = z.now.Add(d)
 	for i := range z.in.Workers {
 		z.end(i)
@@ -61,43 +61,43 @@
 	}
 }
 
-func (z *zone) end(i int) {
+func (z *simulatedZone) end(i int) {
 	w := &z.in.Workers[i]
 	for j := len(w.Running) - 1; j >= 0; j-- {
-		if z.ends[i][j].After(z.now) {
+		if z.endTimes[i][j].After(z.now) {
 			continue
 		}
 		w.Free = w.Free.Add(w.Running[j].Need)
 		g := z.group(w.Running[j].Group)
 		g.Used = g.Used.Sub(w.Running[j].Need)
 		w.Running = slices.Delete(w.Running, j, j+1)
-		z.ends[i] = slices.Delete(z.ends[i], j, j+1)
+		z.endTimes[i] = slices.Delete(z.endTimes[i], j, j+1)
 	}
 }
 
-func (z *zone) start(c Choice) {
+func (z *simulatedZone) start(c Choice) {
 	is := is.New(z.t)
 	q := slices.IndexFunc(z.in.Queue, func(t Task) bool { return t.ID == c.Task })
-	is.True(q >= 0) // chosen once, from the queue
+	is.True(q >= 0) // each task is chosen at most once
 	task := z.in.Queue[q]
 	z.in.Queue = slices.Delete(z.in.Queue, q, q+1)
 	i := slices.IndexFunc(z.in.Workers, func(w Worker) bool { return w.ID == c.Worker })
 	w, g := &z.in.Workers[i], z.group(task.Group)
 	w.Free = w.Free.Sub(task.Need)
 	g.Used = g.Used.Add(task.Need)
-	is.True(!w.Free.IsNegative()) // the worker holds it
-	is.True(g.Used.Fits(g.Limit)) // the group may
+	is.True(!w.Free.IsNegative()) // fits the worker
+	is.True(g.Used.Fits(g.Limit)) // fits the group's limit
 	w.Running = append(w.Running, Running{Group: task.Group, Need: task.Need, Started: z.now, Duration: task.Duration})
-	z.ends[i] = append(z.ends[i], z.now.Add(z.truth[task.ID]))
+	z.endTimes[i] = append(z.endTimes[i], z.now.Add(z.trueDuration[task.ID]))
 	z.started[task.ID] = z.now
 }
 
-func (z *zone) group(name string) *Group {
+func (z *simulatedZone) group(name string) *Group {
 	return &z.in.Groups[slices.IndexFunc(z.in.Groups, func(g Group) bool { return g.Name == name })]
 }
 
-// top keeps n small tasks of each group in the queue.
-func (z *zone) top(n int, random *rand.Rand, groups ...string) {
+// refillQueue keeps n small tasks of each group in the queue.
+func (z *simulatedZone) refillQueue(n int, random *rand.Rand, groups ...string) {
 	for _, group := range groups {
 		queued := 0
 		for _, task := range z.in.Queue {
@@ -106,44 +106,43 @@
 			}
 		}
 		for range n - queued {
-			z.submit(group, 2, false, time.Minute, wrong(random, time.Minute))
+			z.submit(group, 2, false, time.Minute, misestimate(random, time.Minute))
 		}
 	}
 }
 
-// Symptom: a task as large as a worker waits for ever beside a queue of small
-// ones.
-// Sequence: small tasks of its own and of another group end one by one, four
-// times too early or too late, and others take each gap at once.
-// Cause: nothing is kept free for it, or what is kept changes all the time.
+// Guards against a task as large as a worker that waits forever beside a queue
+// of small ones. Small tasks of its own and of another group end one by one,
+// up to four times earlier or later than declared, and others fill each gap at
+// once, unless capacity is kept free for the large task on one worker.
 func TestLargeTaskStarts(t *testing.T) {
 	for seed := range uint64(10) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		z := newZone(t, 4, cores(16), Group{Name: "large", Limit: cores(32)}, Group{Name: "small", Limit: cores(32)})
+		z := newSimulatedZone(t, 4, cores(16), Group{Name: "large", Limit: cores(32)}, Group{Name: "small", Limit: cores(32)})
 		for range 60 {
-			z.top(8, random, "large", "small")
-			z.step(time.Second)
+			z.refillQueue(8, random, "large", "small")
+			z.advance(time.Second)
 		}
 		large, submitted := z.submit("large", 16, false, time.Hour, time.Hour), z.now
 		for range 1200 {
-			z.top(8, random, "large", "small")
-			z.step(time.Second)
+			z.refillQueue(8, random, "large", "small")
+			z.advance(time.Second)
 		}
-		// Three times the longest run: the tasks ahead of it start, its
-		// group's limit gets free, its worker gets free.
+		// Three times the longest run: until the tasks ahead of it start,
+		// until its group's limit is free, and until its worker is free.
 		waited := z.started[large].Sub(submitted)
 		is.New(t).True(waited > 0 && waited <= 3*4*time.Minute)
 	}
 }
 
-// Symptom: a group's ordinary work stops while urgent work is submitted.
-// Sequence: a worker is lost, so that the limits add up to more than the zone
-// holds; one group submits more urgent tasks than can run.
-// Cause: urgent work goes first, however long other work has waited.
+// Guards against ordinary tasks of a group that never start while urgent ones
+// are submitted. A worker is lost, so that the limits add up to more than the
+// zone holds, and one group submits more urgent tasks than can run; tasks that
+// have waited long enough must not be overtaken.
 func TestUrgentFlood(t *testing.T) {
 	for _, victim := range []string{"calm", "flood"} {
 		is := is.New(t)
-		z := newZone(t, 3, cores(16), Group{Name: "calm", Limit: cores(16)}, Group{Name: "flood", Limit: cores(48)})
+		z := newSimulatedZone(t, 3, cores(16), Group{Name: "calm", Limit: cores(16)}, Group{Name: "flood", Limit: cores(48)})
 		for range 30 {
 			z.submit("flood", 4, true, time.Minute, time.Minute)
 		}
@@ -152,23 +151,23 @@
 		for range 900 {
 			id := z.submit("flood", 4, true, time.Minute, time.Minute)
 			late[id] = z.now.After(submitted.Add(DefaultAging))
-			z.step(2 * time.Second)
+			z.advance(2 * time.Second)
 		}
 		start := z.started[ordinary]
-		is.True(!start.IsZero()) // it runs
+		is.True(!start.IsZero()) // the ordinary task starts
 		if victim == "calm" {
-			is.True(start.Sub(submitted) <= DefaultAging+time.Minute) // the next task to end makes room
+			is.True(start.Sub(submitted) <= DefaultAging+time.Minute) // the next task to end frees its capacity
 		}
 		for id, started := range z.started {
-			is.True(!late[id] || victim == "calm" || !started.Before(start)) // not overtaken by later ones
+			is.True(!late[id] || victim == "calm" || !started.Before(start)) // not overtaken by later tasks
 		}
 	}
 }
 
-// Symptom: the first task in the queue starts later than it would alone.
-// Sequence: small tasks are put beside it before it can start; running tasks
-// end early and the small ones run four times as long as declared.
-// Cause: backfill trusts declared run times, or looks at its own group only.
+// Guards against backfill that delays the first task in the queue. Small tasks
+// start beside it before it can start; running tasks end early, and the small
+// ones run four times as long as declared. Backfill must not trust declared
+// run times, and must consider all groups.
 func TestBackfillDoesNotDelayHead(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -181,37 +180,37 @@
 	} {
 		total := 0
 		for seed := range uint64(100) {
-			alone, _ := headStart(t, seed, c.workers, c.limit, nil)
-			beside, filled := headStart(t, seed, c.workers, c.limit, c.groups)
+			alone, _ := headWait(t, seed, c.workers, c.limit, nil)
+			beside, filled := headWait(t, seed, c.workers, c.limit, c.groups)
 			total += filled
 			if beside > alone {
 				t.Fatalf("%s, seed %d: the head waits %s, alone %s", c.name, seed, beside, alone)
 			}
 		}
-		is.New(t).True(total > 100) // there was backfill
+		is.New(t).True(total > 100) // backfill took place
 	}
 }
 
-// headStart returns how long a large task waits for what is in use, and how
-// many small tasks of the given groups were started beside it.
-func headStart(t *testing.T, seed uint64, workers int, limit int64, groups []string) (time.Duration, int) {
+// headWait returns how long a large task waits for capacity in use, and how
+// many small tasks of the given groups were started meanwhile.
+func headWait(t *testing.T, seed uint64, workers int, limit int64, groups []string) (time.Duration, int) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	z := newZone(t, workers, cores(16), Group{Name: "head", Limit: cores(limit)}, Group{Name: "small", Limit: cores(limit)})
+	z := newSimulatedZone(t, workers, cores(16), Group{Name: "head", Limit: cores(limit)}, Group{Name: "small", Limit: cores(limit)})
 	for range 6 {
 		declared := time.Duration(1+random.IntN(600)) * time.Second
-		z.submit("head", 1+random.Int64N(4), false, declared, wrong(random, declared))
+		z.submit("head", 1+random.Int64N(4), false, declared, misestimate(random, declared))
 	}
-	z.step(time.Second)
+	z.advance(time.Second)
 	before := len(z.started)
 	head, submitted := z.submit("head", 8+random.Int64N(9), true, time.Hour, time.Hour), z.now
 	for z.started[head].IsZero() {
-		z.step(time.Second)
+		z.advance(time.Second)
 		for _, group := range groups {
 			if len(z.in.Queue) > 8 {
 				continue
 			}
 			declared := time.Duration(1+random.IntN(60)) * time.Second
-			z.submit(group, 1+random.Int64N(4), false, declared, wrong(random, declared))
+			z.submit(group, 1+random.Int64N(4), false, declared, misestimate(random, declared))
 		}
 	}
 	return z.started[head].Sub(submitted), len(z.started) - before - 1
@@ -239,7 +238,7 @@
 func TestSelectIgnoresOrderOfInput(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	in := large(random)
+	in := randomInput(random)
 	first, second := New(), New()
 	for range 5 {
 		want := first.Select(epoch, in)
@@ -251,10 +250,10 @@
 	}
 }
 
-// BenchmarkSelect has a zone at its planned size: 8,300 queued tasks of 40
+// BenchmarkSelect uses a zone of the planned size: 8,300 queued tasks of 40
 // groups and 220 workers, nearly full.
 func BenchmarkSelect(b *testing.B) {
-	in := large(rand.New(rand.NewPCG(5, 6)))
+	in := randomInput(rand.New(rand.NewPCG(5, 6)))
 	s := New()
 	choices := 0
 	for b.Loop() {
@@ -263,7 +262,7 @@
 	b.ReportMetric(float64(choices), "choices")
 }
 
-func large(random *rand.Rand) Input {
+func randomInput(random *rand.Rand) Input {
 	var in Input
 	for i := range 40 {
 		in.Groups = append(in.Groups, Group{Name: fmt.Sprintf("g%02d", i), Limit: cores(352)})
@@ -291,9 +290,9 @@
 	return in
 }
 
-// wrong returns a true run time from a quarter of the declared one to four
-// times of it.
-func wrong(random *rand.Rand, declared time.Duration) time.Duration {
+// misestimate returns a true run time between a quarter of the declared one
+// and four times it.
+func misestimate(random *rand.Rand, declared time.Duration) time.Duration {
 	if random.IntN(2) == 0 {
 		return declared/4 + time.Duration(random.Int64N(int64(declared)))*3/4
 	}
