--- a/controller/controller.go
+++ b/controller/controller.go
@@ -69,7 +69,7 @@
 	timing    Timing
 	stream    string
 	members   *member.Table
-	leases    *lease.Book
+	leases    *lease.Table
 	follower  *follower.Follower
 	appender  *appender.Appender
 	revisions *revision.History
@@ -131,7 +131,7 @@
 func (c *Controller) startIncarnation(incarnation uint64) {
 	c.self.Incarnation = incarnation
 	c.members = c.newMembers()
-	c.leases = c.newLeaseBook()
+	c.leases = c.newLeaseTable()
 	c.appender = appender.New(c.writer(), appender.WithInterval(c.timing.Append))
 	c.workerByAttempt = make(map[record.Attempt]*worker)
 	for _, w := range c.workers {
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -18,13 +18,13 @@
 	)
 }
 
-func (c *Controller) newLeaseBook() *lease.Book {
+func (c *Controller) newLeaseTable() *lease.Table {
 	return lease.New(
 		lease.WithHolder(c.self.ID),
 		lease.WithTTL(c.timing.Lease),
-		lease.WithTasks(c.timing.Task),
-		lease.WithDrift(c.timing.Drift),
-		lease.WithIsolation(c.timing.Isolation),
+		lease.WithTaskTTL(c.timing.Task),
+		lease.WithMaxDrift(c.timing.Drift),
+		lease.WithIsolationBound(c.timing.Isolation),
 	)
 }
 
--- a/controller/service.go
+++ b/controller/service.go
@@ -49,7 +49,7 @@
 	c.plan = replica.New(services, workers)
 	c.planInputs = key
 	c.routesDirty = true
-	for name, n := range c.plan.Short() {
+	for name, n := range c.plan.Missing() {
 		c.logEvent(Warn, "no room for replicas", "service", name, "missing", n)
 	}
 }
@@ -96,7 +96,7 @@
 // plan.
 func (c *Controller) reconcileWorkerReplicas(now time.Time, w *worker) {
 	planned := make(map[string]bool)
-	for _, name := range c.plan.Worker(w.id) {
+	for _, name := range c.plan.ServicesOn(w.id) {
 		planned[name] = !w.leaving
 	}
 	c.drainReplicas(now, w, planned)
@@ -280,7 +280,7 @@
 		return sum
 	}
 	for _, s := range c.manifest.Services {
-		if w.replicas[s.Name] == nil && slices.Contains(c.plan.Worker(w.id), s.Name) {
+		if w.replicas[s.Name] == nil && slices.Contains(c.plan.ServicesOn(w.id), s.Name) {
 			sum = sum.Add(s.Need)
 		}
 	}
--- a/controller/task.go
+++ b/controller/task.go
@@ -22,7 +22,7 @@
 // handleRenewed handles the answer to a renewal, which lists the worker's
 // tasks.
 func (c *Controller) handleRenewed(now time.Time, w *worker, in Leased) {
-	if in.Lease.Epoch != w.epoch || !c.leases.Granted(in.Sent, w.id, in.Lease) {
+	if in.Lease.Epoch != w.epoch || !c.leases.RecordGrant(in.Sent, w.id, in.Lease) {
 		return
 	}
 	w.unansweredRenewals = 0
--- a/controller/worker.go
+++ b/controller/worker.go
@@ -175,7 +175,7 @@
 
 // renewDueLeases renews the leases that are due.
 func (c *Controller) renewDueLeases(now time.Time) {
-	for _, id := range c.leases.Due(now) {
+	for _, id := range c.leases.DueRenewals(now) {
 		if w, ok := c.workers[id]; ok {
 			c.renewLease(now, w)
 		}
@@ -191,7 +191,7 @@
 		c.reacquire(now, w)
 		return
 	}
-	request, ok := c.leases.Renewal(now, w.id, c.follower.Tail())
+	request, ok := c.leases.RenewRequest(now, w.id, c.follower.Tail())
 	if !ok {
 		return
 	}
@@ -260,7 +260,7 @@
 		return // the worker is acquired once the lease expires
 	}
 	w.phase = acquiring
-	request := c.leases.Acquire(w.id)
+	request := c.leases.AcquireRequest(w.id)
 	request.Epoch = in.Epoch
 	c.enqueueCall(w, Call{Verb: Renew, Epoch: in.Epoch, Lease: request})
 }
@@ -349,19 +349,19 @@
 
 func (c *Controller) handleLeaseFailure(now time.Time, w *worker, err error) {
 	if fault.Is(err, fault.StaleEpoch) {
-		c.leases.Refused(w.id, w.epoch)
+		c.leases.RecordRefusal(w.id, w.epoch)
 		c.logEvent(Warn, "lease lost", "worker", w.id, "epoch", w.epoch)
 		c.dropLease(now, w)
 		return
 	}
 	w.unansweredRenewals++
-	c.leases.Lost(now, w.id)
+	c.leases.RecordUnanswered(now, w.id)
 }
 
 // handleAcquired starts a new lease and records the tasks that the worker
 // holds.
 func (c *Controller) handleAcquired(now time.Time, w *worker, in Leased) {
-	if !c.leases.Granted(in.Sent, w.id, in.Lease) {
+	if !c.leases.RecordGrant(in.Sent, w.id, in.Lease) {
 		w.phase = unowned
 		return
 	}
@@ -437,7 +437,7 @@
 // confirmOwnership allows the extension of task leases on a worker, once every
 // task running there is in this instance's escrow.
 func (c *Controller) confirmOwnership(w *worker) {
-	if w.phase != adopted || c.leases.MayExtend(w.id) {
+	if w.phase != adopted || c.leases.MayExtendTasks(w.id) {
 		return
 	}
 	for _, a := range w.tasks {
@@ -541,7 +541,7 @@
 // because a restarted worker counts its epochs from one again.
 func (c *Controller) acquire(w *worker) {
 	w.phase = acquiring
-	request := c.leases.Acquire(w.id)
+	request := c.leases.AcquireRequest(w.id)
 	if s := c.State(); s != nil {
 		recorded, _ := s.Worker(w.id)
 		request.After = max(request.After, recorded.Epoch)
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,26 +1,26 @@
-// Package lease is the holder's book of worker leases: which it holds, until
-// when each may be used, when each is to be renewed, and whether the leases of
-// batch tasks may be extended with it.
+// Package lease tracks the worker leases of one holder: which leases it holds,
+// until when each may be used, when each must be renewed, and whether the
+// leases of batch tasks may be extended with it.
 //
 // Usage:
 //
-//	book := lease.New(lease.WithHolder(id), lease.WithTTL(6*time.Second))
+//	leases := lease.New(lease.WithHolder(id), lease.WithTTL(6*time.Second))
 //	sent := now
-//	answer, err := worker.Acquire(ctx, book.Acquire(id))
-//	book.Granted(sent, id, answer)
+//	answer, err := worker.Acquire(ctx, leases.AcquireRequest(id))
+//	leases.RecordGrant(sent, id, answer)
 //	...
-//	if epoch, _, ok := book.Valid(now, id); ok { worker.Start(ctx, epoch, task) }
-//	for _, id := range book.Due(now) {
-//		request, ok := book.Renewal(now, id, lastTail)
+//	if epoch, _, ok := leases.Valid(now, id); ok { worker.Start(ctx, epoch, task) }
+//	for _, id := range leases.DueRenewals(now) {
+//		request, ok := leases.RenewRequest(now, id, lastTail)
 //	}
 //
-// A lease is valid from when its request was sent, not from when the answer
-// came, for its TTL less the drift. The worker counts from when it granted,
-// which is later, so the holder stops first. Valid is to be asked just before
-// each use; what a pause after that lets through, the worker refuses by the
-// epoch.
+// A lease is valid from the time its request was sent, not from the arrival of
+// the answer, for its TTL less the maximum clock drift. The worker counts from
+// the time of the grant, which is later, so the holder stops first. Callers
+// must check Valid just before each use; a use that passes the check and is
+// then delayed by a pause is refused by the worker because of its epoch.
 //
-// The package does no I/O and reads no clock; times must carry Go's monotonic
-// reading where they come from a real clock. Memory is bounded by WithLimit
-// workers of about 200 bytes.
+// The package does no I/O and reads no clock; times from a real clock must
+// carry Go's monotonic reading. Memory is bounded by WithMaxWorkers workers of
+// about 200 bytes.
 package lease
--- a/lease/export_test.go
+++ b/lease/export_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Suspend makes the wall clock show more time since the last tick than the
-// monotonic clock does.
-func (b *Book) Suspend(d time.Duration) {
-	b.wall = b.wall.Add(-d)
+// Suspend simulates a suspended machine: since the last tick, the wall clock
+// advanced by d more than the monotonic clock.
+func (t *Table) Suspend(d time.Duration) {
+	t.lastWallTick = t.lastWallTick.Add(-d)
 }
--- a/lease/option.go
+++ b/lease/option.go
@@ -2,95 +2,96 @@
 
 import "time"
 
-// Defaults.
+// Defaults of the options.
 const (
-	defaultTTL       = 6 * time.Second
-	defaultDrift     = 200 * time.Millisecond
-	defaultTasks     = 30 * time.Second
-	defaultIsolation = 15 * time.Minute
-	defaultPause     = 2 * time.Second
-	defaultLimit     = 4096
+	defaultTTL            = 6 * time.Second
+	defaultMaxDrift       = 200 * time.Millisecond
+	defaultTaskTTL        = 30 * time.Second
+	defaultIsolationBound = 15 * time.Minute
+	defaultMaxTickGap     = 2 * time.Second
+	defaultMaxWorkers     = 4096
 )
 
-// Parts of other settings.
+// Divisors and multiples of other settings.
 const (
-	renewalPart = 3  // renewals come every TTL/3, so two may fail
-	retryPart   = 4  // an unanswered renewal is sent again after a quarter of that
-	lostPart    = 8  // one that failed, after an eighth
-	floorTTLs   = 10 // a released lease's epoch is remembered for this many TTLs
+	renewalDivisor     = 3  // renewals are sent every TTL/3, so two may fail
+	retryDivisor       = 4  // an unanswered renewal is repeated after 1/4 of the renewal interval
+	lostDivisor        = 8  // a failed renewal is repeated after 1/8 of the renewal interval
+	epochRetentionTTLs = 10 // the epoch of a released lease is remembered for this many TTLs
 )
 
-type settings struct {
-	holder    string
-	ttl       time.Duration
-	drift     time.Duration
-	interval  time.Duration
-	tasks     time.Duration
-	isolation time.Duration
-	pause     time.Duration
-	limit     int
+type options struct {
+	holder          string
+	ttl             time.Duration
+	maxDrift        time.Duration
+	renewalInterval time.Duration
+	taskTTL         time.Duration
+	isolationBound  time.Duration
+	maxTickGap      time.Duration
+	maxWorkers      int
 }
 
-// Option sets up a Book.
-type Option func(*settings)
+// Option configures a Table.
+type Option func(*options)
 
-// WithHolder sets the ID under which leases are asked for.
+// WithHolder sets the ID under which leases are requested.
 func WithHolder(id string) Option {
-	return func(s *settings) { s.holder = id }
+	return func(o *options) { o.holder = id }
 }
 
-// WithTTL sets how long a worker's lease is asked for.
+// WithTTL sets the requested duration of worker leases.
 func WithTTL(d time.Duration) Option {
-	return func(s *settings) { s.ttl = d }
+	return func(o *options) { o.ttl = d }
 }
 
-// WithDrift sets by how much a worker's clock may run ahead of the holder's
-// over one TTL.
-func WithDrift(d time.Duration) Option {
-	return func(s *settings) { s.drift = d }
+// WithMaxDrift sets by how much a worker's clock may run ahead of the holder's
+// during one TTL.
+func WithMaxDrift(d time.Duration) Option {
+	return func(o *options) { o.maxDrift = d }
 }
 
-// WithInterval sets the time between renewals; a third of the TTL if unset.
-func WithInterval(d time.Duration) Option {
-	return func(s *settings) { s.interval = d }
+// WithRenewalInterval sets the time between renewals; the default is a third
+// of the TTL.
+func WithRenewalInterval(d time.Duration) Option {
+	return func(o *options) { o.renewalInterval = d }
 }
 
-// WithTasks sets how long the leases of batch tasks are extended for.
-func WithTasks(d time.Duration) Option {
-	return func(s *settings) { s.tasks = d }
+// WithTaskTTL sets for how long a renewal extends the leases of batch tasks.
+func WithTaskTTL(d time.Duration) Option {
+	return func(o *options) { o.taskTTL = d }
 }
 
-// WithIsolation sets for how long after the last read of the log's tail the
-// leases of batch tasks go on being extended.
-func WithIsolation(d time.Duration) Option {
-	return func(s *settings) { s.isolation = d }
+// WithIsolationBound sets for how long after the last read of the log's tail
+// the leases of batch tasks are extended.
+func WithIsolationBound(d time.Duration) Option {
+	return func(o *options) { o.isolationBound = d }
 }
 
-// WithPause sets the gap between two ticks above which the holder is taken to
-// have been paused.
-func WithPause(d time.Duration) Option {
-	return func(s *settings) { s.pause = d }
+// WithMaxTickGap sets the time between two ticks above which the holder is
+// considered to have been paused.
+func WithMaxTickGap(d time.Duration) Option {
+	return func(o *options) { o.maxTickGap = d }
 }
 
-// WithLimit bounds the number of workers in the book.
-func WithLimit(n int) Option {
-	return func(s *settings) { s.limit = n }
+// WithMaxWorkers bounds the number of workers in the table.
+func WithMaxWorkers(n int) Option {
+	return func(o *options) { o.maxWorkers = n }
 }
 
-func newSettings(opts []Option) settings {
-	s := settings{
-		ttl:       defaultTTL,
-		drift:     defaultDrift,
-		tasks:     defaultTasks,
-		isolation: defaultIsolation,
-		pause:     defaultPause,
-		limit:     defaultLimit,
+func newOptions(opts []Option) options {
+	o := options{
+		ttl:            defaultTTL,
+		maxDrift:       defaultMaxDrift,
+		taskTTL:        defaultTaskTTL,
+		isolationBound: defaultIsolationBound,
+		maxTickGap:     defaultMaxTickGap,
+		maxWorkers:     defaultMaxWorkers,
 	}
 	for _, opt := range opts {
-		opt(&s)
+		opt(&o)
 	}
-	if s.interval <= 0 {
-		s.interval = s.ttl / renewalPart
+	if o.renewalInterval <= 0 {
+		o.renewalInterval = o.ttl / renewalDivisor
 	}
-	return s
+	return o
 }
--- a/replica/plan.go
+++ b/replica/plan.go
@@ -1,12 +1,12 @@
-// Package replica decides which workers of an availability zone run the
-// replicas of its services. Every instance computes the same plan from the
-// same services and workers, so none has to be agreed.
+// Package replica plans which workers of an availability zone run the replicas
+// of its services. All instances compute the same plan from the same services
+// and workers, so they need no agreement.
 //
 // Usage:
 //
 //	plan := replica.New(services, workers)
-//	for _, s := range plan.Worker(id) { ... }   // services that id runs
-//	short := plan.Short()                       // replicas that found no room
+//	for _, s := range plan.ServicesOn(id) { ... } // services that id runs
+//	missing := plan.Missing()                     // replicas that fit no worker
 //
 // A plan moves few replicas when a worker joins or leaves, and spreads each
 // service over racks.
@@ -19,14 +19,14 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Service is what a plan needs to know of a service.
+// Service is a service to plan.
 type Service struct {
 	Name     string
 	Replicas int
 	Need     resource.Vector // of one replica
 }
 
-// Worker is what a plan needs to know of a worker.
+// Worker is a worker that can run replicas.
 type Worker struct {
 	ID       string
 	Rack     string
@@ -37,15 +37,15 @@
 type Plan struct {
 	byWorker map[string][]string
 	reserved map[string]resource.Vector
-	short    map[string]int
+	missing  map[string]int
 }
 
-// New returns the plan for services on workers.
+// New returns the plan for running services on workers.
 func New(services []Service, workers []Worker) *Plan {
 	p := &Plan{
 		byWorker: make(map[string][]string),
 		reserved: make(map[string]resource.Vector),
-		short:    make(map[string]int),
+		missing:  make(map[string]int),
 	}
 	index := make(map[string]Worker, len(workers))
 	ids := make([]string, 0, len(workers))
@@ -62,31 +62,33 @@
 	return p
 }
 
-// Worker returns the services that a worker runs, sorted.
-func (p *Plan) Worker(id string) []string {
+// ServicesOn returns the services whose replicas a worker runs, sorted by
+// name.
+func (p *Plan) ServicesOn(id string) []string {
 	return p.byWorker[id]
 }
 
-// Reserved returns what the planned replicas need on a worker.
+// Reserved returns the total need of the replicas planned on a worker.
 func (p *Plan) Reserved(id string) resource.Vector {
 	return p.reserved[id]
 }
 
-// Short returns how many replicas of each service found no room.
-func (p *Plan) Short() map[string]int {
-	return p.short
+// Missing returns by service how many replicas fit no worker.
+func (p *Plan) Missing() map[string]int {
+	return p.missing
 }
 
-// place puts the replicas of s on the first workers of its order that have
-// room, first at most an equal part per rack, then wherever there is room.
+// place assigns the replicas of s to the first workers of its order that have
+// capacity: first at most an equal part per rack, then without regard to
+// racks.
 func (p *Plan) place(s Service, order []string, index map[string]Worker) {
-	left := s.Replicas
+	remaining := s.Replicas
 	perRack := make(map[string]int)
-	most := rackBound(s.Replicas, index)
+	perRackLimit := maxPerRack(s.Replicas, index)
 	taken := make(map[string]bool)
-	for _, bound := range []int{most, s.Replicas} {
+	for _, bound := range []int{perRackLimit, s.Replicas} {
 		for _, id := range order {
-			if left == 0 {
+			if remaining == 0 {
 				return
 			}
 			w := index[id]
@@ -96,11 +98,11 @@
 			p.add(s, id)
 			taken[id] = true
 			perRack[w.Rack]++
-			left--
+			remaining--
 		}
 	}
-	if left > 0 {
-		p.short[s.Name] = left
+	if remaining > 0 {
+		p.missing[s.Name] = remaining
 	}
 }
 
@@ -113,7 +115,7 @@
 	p.reserved[id] = p.reserved[id].Add(s.Need)
 }
 
-func rackBound(replicas int, index map[string]Worker) int {
+func maxPerRack(replicas int, index map[string]Worker) int {
 	racks := make(map[string]bool)
 	for _, w := range index {
 		racks[w.Rack] = true
