--- a/message/message.go
+++ b/message/message.go
@@ -1,5 +1,6 @@
-// Package message holds what entry instances tell each other, as plain data.
-// Package peer carries it; the controller decides on it without knowing how.
+// Package message defines the messages between entry instances as plain data.
+// Package peer transports them; the controller handles and emits them without
+// knowing the transport.
 //
 // Usage:
 //
@@ -8,15 +9,15 @@
 
 import "github.com/dogwoodladder/dogwoodladder/member"
 
-// Message is one of the types of this package.
+// Message is implemented by the message types of this package.
 type Message interface {
 	message()
 }
 
-// Heartbeat tells a peer of the sender.
+// Heartbeat reports the sender's state to a peer.
 type Heartbeat member.Heartbeat
 
-// ConfigRequest asks for a configuration by revision.
+// ConfigRequest requests a configuration by its revision.
 type ConfigRequest struct {
 	Revision uint64 `cbor:"1,keyasint"`
 }
@@ -28,15 +29,15 @@
 	Manifest []byte `cbor:"3,keyasint"`
 }
 
-// Handover tells the receiver that a leaving owner transferred a worker's
+// Handover informs the receiver that a leaving owner transferred a worker's
 // lease to it.
 type Handover struct {
 	Worker string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
 }
 
-// Call asks a peer that can reach the log to carry out an operator command
-// or a batch submission.
+// Call asks a peer that can reach the log to execute an operator command or a
+// batch submission.
 type Call struct {
 	ID   uint64 `cbor:"1,keyasint"` // unique among the sender's calls
 	Kind string `cbor:"2,keyasint"`
@@ -50,11 +51,11 @@
 	Body []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Linked is a local event: a link to the peer is up.
+// Linked is a local event: the link to a peer was established.
 type Linked struct{}
 
-// Unlinked is a local event: the link went down, or couldn't be made. Calls
-// without a reply may have run.
+// Unlinked is a local event: the link to a peer broke or couldn't be
+// established. Calls without a reply may have run.
 type Unlinked struct {
 	Refused bool // the address refused the connection or belongs to another instance
 	Reason  string
@@ -69,7 +70,7 @@
 func (Linked) message()        {}
 func (Unlinked) message()      {}
 
-// Peer is an instance to link with.
+// Peer is an instance to keep a link with.
 type Peer struct {
 	ID               string
 	Address          string // host:port of its peer listener
--- a/provider/executor.go
+++ b/provider/executor.go
@@ -9,35 +9,37 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Host is one incarnation of a worker that runs tasks of jobs. A worker that restarts may
-// have a new ID or the one it had; its next incarnation runs nothing, knows no token, and
-// counts its ends and its clock anew.
+// Host is one incarnation of a worker that runs tasks of jobs. A restarted
+// worker may have a new ID or its previous one; its new incarnation runs
+// nothing, has seen no fencing token, and starts its numbering of ends and its
+// clock anew.
 type Host struct {
 	ID               string          `cbor:"1,keyasint"`
-	Address          string          `cbor:"2,keyasint"` // host:port of its control side
+	Address          string          `cbor:"2,keyasint"` // host:port of its control interface
 	Service          string          `cbor:"3,keyasint"` // pool that it belongs to
 	AvailabilityZone string          `cbor:"4,keyasint"`
 	Machine          string          `cbor:"5,keyasint,omitempty"`
-	Labels           []string        `cbor:"6,keyasint,omitempty"` // its kind and its rack
+	Labels           []string        `cbor:"6,keyasint,omitempty"` // such as its kind and its rack
 	Capacity         resource.Vector `cbor:"7,keyasint"`
 	Draining         bool            `cbor:"8,keyasint,omitempty"`
-	Left             time.Duration   `cbor:"9,keyasint,omitempty"`  // at least so long until a draining worker goes
-	Cold             time.Duration   `cbor:"10,keyasint,omitempty"` // slow for so long after its start
+	Left             time.Duration   `cbor:"9,keyasint,omitempty"`  // minimum time until a draining worker stops
+	Cold             time.Duration   `cbor:"10,keyasint,omitempty"` // slow for this long after its start
 	Born             uint64          `cbor:"11,keyasint,omitempty"` // start of this incarnation, milliseconds since 1970; zero where the platform doesn't say
 }
 
-// HostList is the platform's list of workers, whole, with all that was written
-// to it before AsOf, a time on the reader's clock. Workers come, say that they
-// leave and go within seconds, so an order that leans on a list has to know how
-// old it is. What an entry said before it became unsound doesn't count any more. A reader
-// that finds nothing changed hands over the same Hosts, which nobody changes.
+// HostList is the platform's complete list of workers, with everything that
+// was written to it before AsOf, a time on the reader's clock. Workers come,
+// announce that they leave, and stop within seconds, so a decision based on a
+// list depends on the list's age. The previous content of an entry that has
+// become unsound must not be used. A reader that finds no change returns the
+// same Hosts, which must not be modified.
 type HostList struct {
 	Hosts   []Host
-	Unsound []string // IDs of workers whose entry names none that can be used
+	Unsound []string // IDs of workers whose entry is unusable
 	AsOf    time.Duration
 }
 
-// HasLabel reports whether the worker carries a label.
+// HasLabel reports whether the worker has a label.
 func (h *Host) HasLabel(label string) bool {
 	for _, l := range h.Labels {
 		if l == label {
@@ -47,12 +49,12 @@
 	return false
 }
 
-// End tells how a run of a task ended.
+// End is how a run of a task ended.
 type End uint8
 
-// Ends of runs: it completed; failed by its own fault or the worker's; was
-// stopped on order; its lease ran out; another member of its gang ended; the rest
-// of its gang didn't come in time; its worker is gone.
+// Ends of runs: completed; failed because of the task or the worker; stopped
+// by an order; lease expired; another member of its gang ended; the rest of its
+// gang didn't start in time; its worker is gone.
 const (
 	EndDone    End = iota // done
 	EndFailed             // failed
@@ -63,17 +65,17 @@
 	EndLost               // lost
 )
 
-// Run is a task that a worker runs.
+// Run is a task that is running on a worker.
 type Run struct {
 	Task       string
 	Attempt    uint64
-	Checkpoint string        // newest one
-	Percent    int           // of its work that is done; of a lasting task 100 once it is at work
-	Tail       time.Duration // of a serving task: the tail of its response times
-	Processors int64         // of any other: thousandths of a core in use
+	Checkpoint string        // the newest one
+	Percent    int           // completed part of its work; 100 for a long-running task once it is in service
+	Tail       time.Duration // tail latency of a serving task
+	Processors int64         // processors used by any other task, in thousandths of a core
 }
 
-// Ended is a run that a worker lists until it is acknowledged.
+// Ended is an ended run, which a worker lists until it is acknowledged.
 type Ended struct {
 	Number     uint64 // counts the ends of one incarnation from 1
 	Task       string
@@ -82,27 +84,27 @@
 	Checkpoint string
 }
 
-// Held is a worker's answer to a HoldOrder: all that runs there, and all ends
-// that aren't acknowledged.
+// Held is a worker's answer to a HoldOrder: all running tasks, and all ended
+// runs that aren't acknowledged.
 type Held struct {
 	Born    uint64 // start of the incarnation that answers, as in Host
-	Clock   int64  // worker's steady clock, milliseconds
+	Clock   int64  // worker's monotonic clock, milliseconds
 	Running []Run
 	Ended   []Ended
 }
 
-// HoldOrder extends the lease of all that runs on a worker, acknowledges ends
-// and asks what runs.
+// HoldOrder extends the lease of all tasks running on a worker, acknowledges
+// ended runs and requests the list of both.
 type HoldOrder struct {
 	Host     Host
-	Token    uint64 // fencing token; the worker ignores lower ones than it has seen
-	Seen     uint64 // ends up to this number are recorded and may be forgotten
-	Deadline int64  // lease end on the worker's clock, milliseconds; zero leaves it
+	Token    uint64 // fencing token; the worker refuses orders with a lower one than it has seen
+	Seen     uint64 // ended runs up to this number are recorded and may be forgotten
+	Deadline int64  // lease end on the worker's clock, milliseconds; zero leaves it unchanged
 	Wait     time.Duration
 }
 
-// StartOrder starts a task on a worker. It is refused after Deadline, so that
-// an order that was held up on its way does nothing.
+// StartOrder starts a task on a worker. The worker refuses it after Deadline,
+// so that a delayed order has no effect.
 type StartOrder struct {
 	Host       Host
 	Token      uint64
@@ -111,25 +113,25 @@
 	Spec       string
 	Deadline   int64 // on the worker's clock, milliseconds
 	Checkpoint string
-	Ticket     string // from the adviser, where the queue has one
+	Ticket     string // from the adviser, if the queue has one
 }
 
-// RunOrder stops or paces a run.
+// RunOrder stops a run or changes its speed.
 type RunOrder struct {
 	Host    Host
 	Token   uint64
 	Task    string
 	Attempt uint64
-	Percent int // of full speed, for a pace
+	Percent int // of full speed, only for Pace
 }
 
-// Refusal tells why a worker didn't start a task.
+// Refusal is the reason why a worker didn't start a task.
 type Refusal uint8
 
-// Refusals of a start: a higher token was seen; the attempt isn't higher than
-// one that ended there; the deadline had passed; there is no capacity; the ticket
-// isn't valid; the worker is unhealthy and did nothing; the order was malformed
-// or named unknown work.
+// Refusals of a start: the worker has seen a higher token; the attempt isn't
+// higher than one that ended there; the deadline has passed; there is no
+// capacity; the ticket isn't valid; the worker is unhealthy and did nothing; the
+// order is malformed or names unknown work.
 const (
 	Accepted      Refusal = iota // none
 	RefusedToken                 // token
@@ -141,10 +143,11 @@
 	RefusedOther                 // other
 )
 
-// Executor gives orders to workers. An error of kind fault.NotFound says that a
-// worker with another ID answered at the address, one of kind fault.StaleEpoch
-// that a higher token was seen. After fault.MayHaveRun an order may still be
-// carried out, also by the next incarnation under the ID.
+// Executor sends orders to workers. An error of kind fault.NotFound means that
+// a worker with another ID answered at the address, one of kind
+// fault.StaleEpoch that the worker has seen a higher token. After
+// fault.MayHaveRun an order may still be carried out later, even by the next
+// incarnation under the same ID.
 type Executor interface {
 	Hold(ctx context.Context, order HoldOrder) (Held, error)
 	Start(ctx context.Context, order StartOrder) (Refusal, error)
@@ -158,12 +161,12 @@
 	Ticket string
 }
 
-// Adviser says which workers may run a step of a queue that asks for it.
+// Adviser returns the workers that may run a step, for queues that require it.
 type Adviser interface {
 	Advise(ctx context.Context, step string, hosts []string) ([]Ticket, time.Duration, error)
 }
 
-// MachineState is what the platform says of a machine.
+// MachineState is the state of a machine as reported by the platform.
 type MachineState uint8
 
 // States of a machine.
@@ -172,11 +175,12 @@
 	MachineMoving
 	MachineUpkeep
 	MachineDown
-	MachineUnknown // what the platform says of it isn't understood
+	MachineUnknown // the platform reported a state that isn't known
 )
 
-// Machine is a machine that carries one incarnation of a worker at a time. One without
-// an ID is of state MachineUnknown: any machine that isn't on its list may be it.
+// Machine is a machine that runs one incarnation of a worker at a time. A
+// machine without an ID has state MachineUnknown: it can be any machine that
+// isn't on the list.
 type Machine struct {
 	ID    string
 	Pool  string
@@ -184,7 +188,7 @@
 	Host  string // ID of its worker
 }
 
-// MachineOrder moves a machine to another pool, or has its upkeep done.
+// MachineOrder moves a machine to another pool, or starts its upkeep.
 type MachineOrder struct {
 	Machine string
 	Pool    string // for a move
@@ -193,19 +197,19 @@
 	Token   uint64
 }
 
-// Machines is the platform's interface to the machines under the workers.
+// Machines is the platform's interface to the machines that run the workers.
 type Machines interface {
 	List(ctx context.Context) ([]Machine, error)
 	Upkeep(ctx context.Context, order MachineOrder) error
 	Move(ctx context.Context, order MachineOrder) error
-	// Report tells the operators how far a wave of upkeep is.
+	// Report informs the operators of the progress of a wave of upkeep.
 	Report(ctx context.Context, wave int, completed bool) error
 }
 
-// Wave asks that each of its machines has its upkeep in time.
+// Wave requests the upkeep of a set of machines within a time.
 type Wave struct {
 	Number   int
 	Machines []string
-	Within   time.Duration // from when it was published
-	Most     int           // at once
+	Within   time.Duration // counted from the publication of the wave
+	Most     int           // maximum number of machines in upkeep at once
 }
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,6 +1,6 @@
-// Package provider declares what the surrounding platform gives: a log
-// service, an instance list and workers. It holds interfaces and plain data
-// only, so that decision packages may use its types without any transport.
+// Package provider declares what the surrounding platform provides: a log
+// service, an instance list and workers. It has only interfaces and plain
+// data, so that decision packages can use its types without any transport.
 //
 // Usage:
 //
@@ -25,8 +25,8 @@
 	Data   []byte    `cbor:"3,keyasint" json:"data"`
 }
 
-// Page is a run of consecutive entries. Oldest is the first offset still
-// kept; Next is the offset the next append will get.
+// Page is a run of consecutive entries. Oldest is the first offset still kept;
+// Next is the offset of the next entry to be appended.
 type Page struct {
 	Oldest  uint64  `cbor:"1,keyasint" json:"oldest"`
 	Next    uint64  `cbor:"2,keyasint" json:"next"`
@@ -37,13 +37,13 @@
 type Log interface {
 	// Append adds records to a stream and returns the offset of the first.
 	Append(ctx context.Context, stream string, records [][]byte) (uint64, error)
-	// Read returns entries from an offset on, at most limit of them, and
-	// waits up to wait for the first. An offset older than Page.Oldest gives
-	// fault.Expired together with a page that holds Oldest and Next.
+	// Read returns up to limit entries starting at an offset, and waits up to wait
+	// for the first. An offset older than Page.Oldest gives fault.Expired together
+	// with a page that has Oldest and Next.
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Page, error)
 }
 
-// Role tells what a listed instance runs.
+// Role is what a listed instance runs.
 type Role string
 
 // Roles of listed instances.
@@ -52,7 +52,7 @@
 	RoleWorker Role = "worker"
 )
 
-// Status tells whether a listed instance is in service.
+// Status is whether a listed instance is in service.
 type Status string
 
 // Statuses of listed instances.
@@ -61,7 +61,7 @@
 	StatusLeaving Status = "leaving"
 )
 
-// Instance is one line of the platform's instance list.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	ID               string          `json:"id"`
 	Role             Role            `json:"role"`
@@ -71,25 +71,26 @@
 	Caller           string          `json:"caller,omitempty"` // host:port of an entry instance's caller listener
 	Status           Status          `json:"status"`
 	Capacity         resource.Vector `json:"capacity"`        // of a worker
-	Slots            int             `json:"slots,omitempty"` // concurrent requests a worker serves
+	Slots            int             `json:"slots,omitempty"` // concurrent requests that a worker serves
 }
 
-// List is the platform's instance list. It lags behind what is true.
+// List is the platform's instance list. It lags behind the actual state.
 type List interface {
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// LeaseRequest asks a worker for its lease, or to extend it when Epoch is
-// the epoch held. A worker's lease is exclusive and expires; each new grant
-// carries a larger epoch. A lease that has expired has no epoch in force, also
-// when nobody else holds the worker. A task that is started is covered by the
-// later of the lease's end and what Tasks extended to.
+// LeaseRequest requests a worker's lease, or its renewal when Epoch is the
+// current epoch. A worker's lease is exclusive and expires; each new grant has
+// a higher epoch. After a lease has expired, no epoch is in force, even when
+// the worker has no new holder. A started task is covered until the end of the
+// lease or until the time to which Tasks extended its own lease, whichever is
+// later.
 type LeaseRequest struct {
 	Holder string        `json:"holder"`
 	Epoch  uint64        `json:"epoch,omitempty"` // zero to acquire, else the epoch to renew
-	After  uint64        `json:"after,omitempty"` // the highest epoch known; one that is acquired is above it, also where the worker has restarted since
-	TTL    time.Duration `json:"ttl"`             // how long the lease lasts
-	Tasks  time.Duration `json:"tasks,omitempty"` // extends the batch tasks' own leases; zero leaves them
+	After  uint64        `json:"after,omitempty"` // highest known epoch; an acquired epoch is above it, even if the worker has restarted since
+	TTL    time.Duration `json:"ttl"`             // duration of the lease
+	Tasks  time.Duration `json:"tasks,omitempty"` // extends the batch tasks' own leases by this time; zero leaves them unchanged
 }
 
 // Lease is a worker's answer to a LeaseRequest.
@@ -98,10 +99,10 @@
 	TTL      time.Duration   `json:"ttl"`
 	Capacity resource.Vector `json:"capacity"`
 	Slots    int             `json:"slots"`
-	Tasks    []Running       `json:"tasks"` // what the worker holds now
+	Tasks    []Running       `json:"tasks"` // tasks on the worker
 }
 
-// TaskKind tells a batch task from a replica of a service.
+// TaskKind distinguishes batch tasks from replicas of services.
 type TaskKind string
 
 // Kinds of tasks.
@@ -110,7 +111,7 @@
 	KindService TaskKind = "service"
 )
 
-// TaskSpec is what a worker needs to run a task.
+// TaskSpec specifies a task for a worker.
 type TaskSpec struct {
 	ID         string          `json:"id"`
 	Kind       TaskKind        `json:"kind"`
@@ -119,11 +120,11 @@
 	Need       resource.Vector `json:"need"`
 	Command    string          `json:"command,omitempty"`    // opaque to the scheduler
 	Duration   time.Duration   `json:"duration,omitempty"`   // declared run time, a hint
-	Checkpoint string          `json:"checkpoint,omitempty"` // where to resume, empty for the start
-	Slots      int             `json:"slots,omitempty"`      // of a service replica
+	Checkpoint string          `json:"checkpoint,omitempty"` // checkpoint to resume from; empty for the start
+	Slots      int             `json:"slots,omitempty"`      // only for a service replica
 }
 
-// TaskState is a worker's view of a task.
+// TaskState is the state of a task on a worker.
 type TaskState string
 
 // States of a task on a worker. A stopped task was ended by the worker or on
@@ -135,7 +136,7 @@
 	TaskStopped TaskState = "stopped"
 )
 
-// Running is a task that a worker holds, running or with its result kept.
+// Running is a task on a worker, either running or ended with its result kept.
 type Running struct {
 	ID         string          `json:"id"`
 	Kind       TaskKind        `json:"kind"`
@@ -148,19 +149,19 @@
 	Reason     string          `json:"reason,omitempty"`
 }
 
-// Usage is what one task was measured to use over an interval that ended at
-// Measured; it arrives later than that.
+// Usage is the measured use of one task over an interval that ended at
+// Measured. It arrives later than that.
 type Usage struct {
 	Task     string          `json:"task"`
 	Group    string          `json:"group"`
 	Measured time.Time       `json:"measured"`
 	Interval time.Duration   `json:"interval"`
 	Used     resource.Vector `json:"used"`
-	Latency  time.Duration   `json:"latency,omitempty"` // p99 of a service replica's answers
+	Latency  time.Duration   `json:"latency,omitempty"` // p99 of a service replica's response times
 	Requests int             `json:"requests,omitempty"`
 }
 
-// Report is a worker's account of itself.
+// Report is a worker's state and usage measurements.
 type Report struct {
 	Worker string    `json:"worker"`
 	Epoch  uint64    `json:"epoch"`
@@ -168,14 +169,15 @@
 	Usage  []Usage   `json:"usage,omitempty"`
 }
 
-// Worker is the control side of one worker. Each call but Acquire carries
-// the lease's epoch, and the worker refuses an epoch that isn't in force with
-// fault.StaleEpoch.
+// Worker is the control interface of one worker. Each call except Acquire
+// carries the lease's epoch, and the worker refuses an epoch that isn't in
+// force with fault.StaleEpoch.
 type Worker interface {
 	Acquire(ctx context.Context, request LeaseRequest) (Lease, error)
 	Renew(ctx context.Context, request LeaseRequest) (Lease, error)
 	Release(ctx context.Context, epoch uint64) error
-	// Transfer gives the lease to another holder, which gets a new epoch; tasks go on.
+	// Transfer passes the lease to another holder under a new epoch. Tasks keep
+	// running.
 	Transfer(ctx context.Context, epoch uint64, to string) (Lease, error)
 	Start(ctx context.Context, epoch uint64, task TaskSpec) error
 	Stop(ctx context.Context, epoch uint64, task string, checkpoint bool) error
--- a/resource/vector.go
+++ b/resource/vector.go
@@ -1,4 +1,5 @@
-// Package resource measures what a task needs and what a worker holds.
+// Package resource represents amounts of resources: the need of a task, the
+// capacity of a worker.
 //
 // Usage:
 //
@@ -52,7 +53,7 @@
 }
 
 // Dominant returns the largest fraction that v takes of any component of
-// total. A component that total lacks counts as 1 when v needs it.
+// total. A component that is zero in total counts as 1 when v needs it.
 func (v Vector) Dominant(total Vector) float64 {
 	return max(
 		fraction(v.Processors, total.Processors),
