--- a/share/share.go
+++ b/share/share.go
@@ -81,10 +81,10 @@
 
 // Defaults of the options.
 const (
-	DefaultAging        = 2 * time.Minute
-	DefaultErrorFactor  = 4
-	DefaultReservations = 64
-	DefaultDuration     = time.Hour
+	DefaultAging           = 2 * time.Minute
+	DefaultErrorFactor     = 4
+	DefaultReservations    = 64
+	DefaultAssumedDuration = time.Hour
 )
 
 // Scheduler selects tasks. Its memory is bounded by the number of
@@ -117,9 +117,9 @@
 	return func(s *Scheduler) { s.maxReservations = n }
 }
 
-// WithDuration sets the run time assumed for running tasks with an unknown
+// WithAssumedDuration sets the run time assumed for running tasks with an unknown
 // one, when a worker is chosen for a reservation.
-func WithDuration(d time.Duration) Option {
+func WithAssumedDuration(d time.Duration) Option {
 	return func(s *Scheduler) { s.assumedDuration = d }
 }
 
@@ -129,7 +129,7 @@
 		aging:           DefaultAging,
 		errorFactor:     DefaultErrorFactor,
 		maxReservations: DefaultReservations,
-		assumedDuration: DefaultDuration,
+		assumedDuration: DefaultAssumedDuration,
 	}
 	for _, option := range options {
 		option(s)
