--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -66,7 +66,7 @@
 	if !h.runUntilSettled(3 * time.Minute) {
 		t.Fatalf("tasks left over:\n%s", h.anyRunning().c.Dump(h.now))
 	}
-	checkRunsOnce(t, h)
+	checkRecordedRuns(t, h)
 	h.logTaskEnds()
 	goldie.New(t, goldie.WithFixtureDir("testdata/faults"), goldie.WithNameSuffix(".golden")).
 		Assert(t, strings.TrimSuffix(filepath.Base(file), ".txt"), []byte(h.transcript.String()))
@@ -142,9 +142,9 @@
 	}
 }
 
-// checkRunsOnce checks that every task that ran is recorded with at least as
+// checkRecordedRuns checks that every task that ran is recorded with at least as
 // many attempts as it had runs, and that no runs overlapped.
-func checkRunsOnce(t *testing.T, h *harness) {
+func checkRecordedRuns(t *testing.T, h *harness) {
 	t.Helper()
 	s := h.anyRunning().c.State()
 	for _, account := range h.ledger().Tasks {
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -133,8 +133,8 @@
 		h.now = h.now.Add(step)
 		h.runScheduled()
 		for _, id := range sortedKeys(h.instances) {
-			if n, ok := h.instances[id]; ok {
-				h.stepInstance(n)
+			if inst, ok := h.instances[id]; ok {
+				h.stepInstance(inst)
 			}
 		}
 		h.checkInvariants()
@@ -142,33 +142,33 @@
 }
 
 // stepInstance feeds an instance its inputs of one step.
-func (h *harness) stepInstance(n *instance) {
-	if n.paused {
+func (h *harness) stepInstance(inst *instance) {
+	if inst.paused {
 		return
 	}
-	inbox := n.inbox
-	n.inbox = nil
+	inbox := inst.inbox
+	inst.inbox = nil
 	for _, in := range inbox {
-		h.feed(n, in)
+		h.feed(inst, in)
 	}
 	if h.now.Sub(h.start)%time.Second == 0 {
-		h.feed(n, controller.Listed{Instances: h.list()})
+		h.feed(inst, controller.Listed{Instances: h.list()})
 	}
 	for _, stream := range []string{controller.ZoneStream("a"), controller.ConfigStream} {
-		h.feed(n, h.read(n, stream))
+		h.feed(inst, h.read(inst, stream))
 	}
-	h.feed(n, controller.Tick{})
+	h.feed(inst, controller.Tick{})
 }
 
-func (h *harness) feed(n *instance, in controller.Input) {
-	for _, a := range n.c.Step(h.now, in) {
-		h.handleAction(n, a)
+func (h *harness) feed(inst *instance, in controller.Input) {
+	for _, a := range inst.c.Step(h.now, in) {
+		h.handleAction(inst, a)
 	}
 }
 
-func (h *harness) read(n *instance, stream string) controller.Input {
+func (h *harness) read(inst *instance, stream string) controller.Input {
 	in := controller.Read{Stream: stream, Sent: h.now}
-	if h.logDown || h.isCut(n.id, logEndpoint) {
+	if h.logDown || h.isCut(inst.id, logEndpoint) {
 		in.Err = fault.New(fault.Unavailable, "log")
 		return in
 	}
@@ -178,7 +178,7 @@
 		oldest = h.oldest
 	}
 	in.Page = provider.Page{Oldest: oldest, Next: uint64(len(entries))}
-	from := n.c.Next(stream)
+	from := inst.c.Next(stream)
 	if from < oldest {
 		in.Page.Entries = entries[oldest:]
 	} else {
@@ -187,26 +187,26 @@
 	return in
 }
 
-func (h *harness) handleAction(n *instance, a controller.Action) {
+func (h *harness) handleAction(inst *instance, a controller.Action) {
 	switch a := a.(type) {
 	case controller.Append:
-		h.append(n, a)
+		h.append(inst, a)
 	case controller.Call:
-		h.call(n, a)
+		h.call(inst, a)
 	case controller.Poll:
-		h.poll(n, a)
+		h.poll(inst, a)
 	case controller.Send:
-		h.send(n, a)
+		h.send(inst, a)
 	case controller.Publish:
-		n.routes = a.Table
+		inst.routes = a.Table
 	case controller.Answer:
-		n.answers = append(n.answers, a)
-		h.logf("%s answers %d: %v", n.id, a.ID, a.Err)
+		inst.answers = append(inst.answers, a)
+		h.logf("%s answers %d: %v", inst.id, a.ID, a.Err)
 	case controller.Left:
-		n.left = true
-		delete(h.instances, n.id)
+		inst.left = true
+		delete(h.instances, inst.id)
 	case controller.Event:
-		h.logf("%s %s %v", n.id, a.Name, a.Fields)
+		h.logf("%s %s %v", inst.id, a.Name, a.Fields)
 	}
 }
 
@@ -226,9 +226,9 @@
 
 // deliverInput queues an input for an instance unless that was replaced in the
 // meantime.
-func (h *harness) deliverInput(n *instance, in controller.Input) {
-	if h.instances[n.id] == n {
-		n.inbox = append(n.inbox, in)
+func (h *harness) deliverInput(inst *instance, in controller.Input) {
+	if h.instances[inst.id] == inst {
+		inst.inbox = append(inst.inbox, in)
 	}
 }
 
@@ -244,11 +244,11 @@
 	}
 }
 
-func (h *harness) append(n *instance, a controller.Append) {
+func (h *harness) append(inst *instance, a controller.Append) {
 	h.schedule(latency, func() {
-		if h.logDown || h.isCut(n.id, logEndpoint) {
+		if h.logDown || h.isCut(inst.id, logEndpoint) {
 			h.schedule(callTimeout, func() {
-				h.deliverInput(n, controller.Appended{Stream: a.Stream, Err: fault.New(fault.Unavailable, "log")})
+				h.deliverInput(inst, controller.Appended{Stream: a.Stream, Err: fault.New(fault.Unavailable, "log")})
 			})
 			return
 		}
@@ -261,7 +261,7 @@
 		if h.rand.Float64() < h.answerLoss {
 			err = fault.New(fault.MayHaveRun, "answer lost")
 		}
-		h.schedule(latency, func() { h.deliverInput(n, controller.Appended{Stream: a.Stream, Err: err}) })
+		h.schedule(latency, func() { h.deliverInput(inst, controller.Appended{Stream: a.Stream, Err: err}) })
 	})
 }
 
@@ -310,8 +310,8 @@
 	return "marker"
 }
 
-func (h *harness) call(n *instance, a controller.Call) {
-	c := &call{n: n, a: a, sent: h.now}
+func (h *harness) call(inst *instance, a controller.Call) {
+	c := &call{n: inst, a: a, sent: h.now}
 	h.schedule(latency, func() { h.deliverCall(c) })
 }
 
@@ -359,16 +359,16 @@
 		return
 	}
 	c.answered = true
-	n, a, sent := c.n, c.a, c.sent
+	inst, a, sent := c.n, c.a, c.sent
 	switch a.Verb {
 	case controller.Acquire, controller.Renew, controller.Transfer:
-		h.deliverInput(n, controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
+		h.deliverInput(inst, controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
 	default:
 		task := a.Task
 		if a.Verb == controller.Start {
 			task = a.Spec.ID
 		}
-		h.deliverInput(n, controller.Called{Worker: a.Worker, Verb: a.Verb, Task: task, Attempt: a.Spec.Attempt, Sent: sent, Err: err})
+		h.deliverInput(inst, controller.Called{Worker: a.Worker, Verb: a.Verb, Task: task, Attempt: a.Spec.Attempt, Sent: sent, Err: err})
 	}
 }
 
@@ -399,31 +399,31 @@
 	return provider.Lease{}, fault.New(fault.Internal, "no verb")
 }
 
-func (h *harness) poll(n *instance, a controller.Poll) {
+func (h *harness) poll(inst *instance, a controller.Poll) {
 	h.schedule(latency, func() {
-		if h.isCut(n.id, a.Worker) || h.deadWorkers[a.Worker] || h.stalledWorkers[a.Worker] {
+		if h.isCut(inst.id, a.Worker) || h.deadWorkers[a.Worker] || h.stalledWorkers[a.Worker] {
 			return
 		}
 		report := h.workers[a.Worker].Report()
-		h.schedule(latency, func() { h.deliverInput(n, controller.Reported{Worker: a.Worker, Report: report}) })
+		h.schedule(latency, func() { h.deliverInput(inst, controller.Reported{Worker: a.Worker, Report: report}) })
 	})
 }
 
-func (h *harness) send(n *instance, a controller.Send) {
+func (h *harness) send(inst *instance, a controller.Send) {
 	h.schedule(latency, func() {
 		to, ok := h.instances[a.To]
-		if !ok || h.isCut(n.id, a.To) {
+		if !ok || h.isCut(inst.id, a.To) {
 			return
 		}
 		switch m := a.Message.(type) {
 		case message.Heartbeat:
 			h.deliverInput(to, controller.Heard{Heartbeat: member.Heartbeat(m)})
 		case message.Handover:
-			h.deliverInput(to, controller.HandedOver{From: n.id, Worker: m.Worker, Epoch: m.Epoch})
+			h.deliverInput(to, controller.HandedOver{From: inst.id, Worker: m.Worker, Epoch: m.Epoch})
 		case message.ConfigRequest:
-			h.deliverInput(to, controller.Asked{From: n.id, Revision: m.Revision})
+			h.deliverInput(to, controller.Asked{From: inst.id, Revision: m.Revision})
 		case message.Config:
-			h.deliverInput(to, controller.Offered{From: n.id, Config: m})
+			h.deliverInput(to, controller.Offered{From: inst.id, Config: m})
 		}
 	})
 }
@@ -435,8 +435,8 @@
 // checkInvariants fails the test when a group exceeds its limit or a task runs
 // in two places.
 func (h *harness) checkInvariants() {
-	for _, n := range h.instances {
-		s := n.c.State()
+	for _, inst := range h.instances {
+		s := inst.c.State()
 		if s == nil {
 			continue
 		}
@@ -480,8 +480,8 @@
 // isSettled reports whether every submitted task has ended in the state of
 // every instance.
 func (h *harness) isSettled() bool {
-	for _, n := range h.instances {
-		s := n.c.State()
+	for _, inst := range h.instances {
+		s := inst.c.State()
 		if s == nil {
 			return false
 		}
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -42,13 +42,13 @@
 	if !h.runUntilSettled(5 * time.Minute) {
 		t.Fatalf("tasks left over:\n%s", h.anyRunning().c.Dump(h.now))
 	}
-	checkRunsOnce(t, h)
+	checkRecordedRuns(t, h)
 }
 
 // injectRandomFault causes or ends one random fault.
 func (h *harness) injectRandomFault() {
 	id := fmt.Sprintf("e%d", h.rand.IntN(3))
-	n, up := h.instances[id]
+	inst, up := h.instances[id]
 	switch h.rand.IntN(12) {
 	case 0:
 		delete(h.instances, id)
@@ -58,11 +58,11 @@
 		}
 	case 3:
 		if up {
-			n.paused = true
+			inst.paused = true
 		}
 	case 4:
 		if up {
-			n.paused = false
+			inst.paused = false
 		}
 	case 5:
 		h.logDown = !h.logDown
@@ -77,8 +77,8 @@
 	case 10:
 		clear(h.stalledWorkers)
 	case 11:
-		if up && !n.paused {
-			h.feed(n, controller.Leave{})
+		if up && !inst.paused {
+			h.feed(inst, controller.Leave{})
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	h.answerLoss = 0
 	h.logDown = false
 	for _, id := range []string{"e0", "e1", "e2"} {
-		if n, ok := h.instances[id]; ok {
-			n.paused = false
+		if inst, ok := h.instances[id]; ok {
+			inst.paused = false
 			continue
 		}
 		h.boot(id)
--- a/controller/regression_test.go
+++ b/controller/regression_test.go
@@ -135,17 +135,17 @@
 	}
 	is.Equal(len(answers), 1)
 	is.True(answers[0].Err != nil)
-	_, taken := s.c.State().Task(both[0].ID)
-	is.True(taken)
-	_, taken = s.c.State().Task(both[1].ID)
-	is.True(!taken)
+	_, accepted := s.c.State().Task(both[0].ID)
+	is.True(accepted)
+	_, accepted = s.c.State().Task(both[1].ID)
+	is.True(!accepted)
 }
 
 // Guards against a call queue that grows for as long as its worker is slow.
 // Sixty small tasks are started on a worker that takes one call at a time,
 // with renewals between the starts; a renewal must not repeat the starts that
 // are queued and not sent yet.
-func TestStartsInLineAreNotRepeated(t *testing.T) {
+func TestQueuedStartsAreNotRepeated(t *testing.T) {
 	is := is.New(t)
 	const started = 60
 	s := newInstanceOwning(t, "w0")
@@ -213,8 +213,8 @@
 		is.True(s.task().State != zone.Queued || !s.runsOn("w0"))
 	}
 	is.True(s.hasReturnRecord())
-	_, twice := s.taskRuns()
-	is.True(!twice)
+	_, overlap := s.taskRuns()
+	is.True(!overlap)
 }
 
 // endQuarantine records a completed task on a quarantined worker as another
@@ -242,7 +242,7 @@
 // escrowed. A worker and its owner restart together, and the worker counts its
 // epochs from one again. The Own record of the low epoch is void, so the lease
 // must be acquired again until the epoch exceeds the recorded one.
-func TestWorkerCountsEpochsAnew(t *testing.T) {
+func TestWorkerRestartsItsEpochs(t *testing.T) {
 	is := is.New(t)
 	s := newSingleInstance(t)
 	for range 6 {
@@ -276,7 +276,7 @@
 		return fault.New(fault.StaleEpoch, "lost"), lost && a.Verb == controller.Stop
 	}
 	s.feed(controller.Cancel{ID: 4, Tasks: []string{"t"}})
-	s.runUntil("asked to stop", func() bool { return len(s.interceptedCalls) > 0 })
+	s.runUntil("stop sent", func() bool { return len(s.interceptedCalls) > 0 })
 	lost = false
 	s.run(5 * time.Minute)
 	is.Equal(s.task().State, zone.Cancelled)
@@ -287,7 +287,7 @@
 // manifest that this one can't decode, and queues a task of its job. This one
 // must neither write the old manifest's limits under the new revision nor
 // cancel tasks that the old manifest doesn't declare.
-func TestOlderProgramKeepsOffNewerManifest(t *testing.T) {
+func TestOlderProgramIgnoresNewerManifest(t *testing.T) {
 	is := is.New(t)
 	s := newInstanceOwning(t, "w0")
 	publish := &history.Publish{Base: 1, Author: "bob", Key: "k", Manifest: []byte("of a newer program")}
@@ -345,7 +345,7 @@
 // Guards against a task that waits forever beside an idle worker. The worker
 // chosen for it refuses every start and, as it has the most free capacity,
 // would be chosen again each time.
-func TestRefusedTaskGoesElsewhere(t *testing.T) {
+func TestRefusedTaskMovesToAnotherWorker(t *testing.T) {
 	is := is.New(t)
 	s := newInstanceOwning(t, "w0", "w1")
 	s.interceptCall = func(a controller.Call) (error, bool) {
--- a/controller/restart_test.go
+++ b/controller/restart_test.go
@@ -39,5 +39,5 @@
 	after, _ := h.anyRunning().c.State().Worker("w0")
 	is.Equal(after.Epoch, before.Epoch+1)
 	is.True(h.runUntilSettled(2 * time.Minute))
-	checkRunsOnce(t, h)
+	checkRecordedRuns(t, h)
 }
--- a/controller/service_test.go
+++ b/controller/service_test.go
@@ -28,11 +28,11 @@
 // routedWorkers returns the workers to which any instance would send requests.
 func (h *harness) routedWorkers(service string) map[string]bool {
 	workers := map[string]bool{}
-	for _, n := range h.instances {
-		if n.routes == nil {
+	for _, inst := range h.instances {
+		if inst.routes == nil {
 			continue
 		}
-		for _, b := range n.routes.Backends[service] {
+		for _, b := range inst.routes.Backends[service] {
 			if h.now.Before(b.Until) {
 				workers[b.Worker] = true
 			}
@@ -99,7 +99,7 @@
 	is.Equal(countStarts(started, "w1"), countStarts(h.ledger(), "w1")) // nothing new was started
 	h.deadWorkers["w1"] = true
 	is.True(h.runUntilSettled(2 * time.Minute))
-	checkRunsOnce(t, h)
+	checkRecordedRuns(t, h)
 }
 
 func countStarts(l worker.Ledger, id string) int {
--- a/controller/single_instance_test.go
+++ b/controller/single_instance_test.go
@@ -22,8 +22,8 @@
 	c                *controller.Controller
 	now              time.Time
 	streams          map[string][]provider.Entry
-	readsFail        bool // reads of the log fail
-	appendsFail      bool // appends to the log fail
+	readsFail        bool
+	appendsFail      bool
 	workers          map[string]*worker.Worker
 	listedWorkers    []string                            // workers on the instance list
 	interceptCall    func(controller.Call) (error, bool) // returns the answer to a call that isn't delivered, and whether it is intercepted
@@ -161,7 +161,7 @@
 		}
 		s.run(step)
 	}
-	s.t.Fatalf("never so: %s\n%s", what, s.c.Dump(s.now))
+	s.t.Fatalf("condition not reached: %s\n%s", what, s.c.Dump(s.now))
 }
 
 // taskRuns returns how often the task was started, and whether runs
@@ -226,8 +226,8 @@
 		return fault.New(fault.MayHaveRun, "no answer"), a.Worker == "w1"
 	}
 	s.runUntil("started on w0", func() bool { return s.runsOn("w0") })
-	_, twice := s.taskRuns()
-	is.True(!twice)
+	_, overlap := s.taskRuns()
+	is.True(!overlap)
 }
 
 func (s *singleInstance) workerEpoch(id string) uint64 {
@@ -273,16 +273,16 @@
 	s.run(time.Second)
 	s.execute(s.interceptedCalls[0])
 	s.run(3 * time.Second)
-	n, twice := s.taskRuns()
+	n, overlap := s.taskRuns()
 	is.True(n > 0)
-	is.True(!twice)
-	on := 0
+	is.True(!overlap)
+	runningOn := 0
 	for _, id := range s.listedWorkers {
 		if s.runsOn(id) {
-			on++
+			runningOn++
 		}
 	}
-	is.Equal(on, 1)
+	is.Equal(runningOn, 1)
 }
 
 // Guards against a requeued task that runs on where it was and is started a
--- a/mitigation/ladder_test.go
+++ b/mitigation/ladder_test.go
@@ -90,7 +90,7 @@
 // Guards against a task that is throttled again and evicted within the lag,
 // because reports from before a throttle keep arriving and are taken for its
 // effect.
-func TestWaitsForEvidenceAfterItsAction(t *testing.T) {
+func TestWaitsForReportsAfterAnAction(t *testing.T) {
 	is := is.New(t)
 	l := mitigation.New()
 	harms := map[string]float64{"a": 0.4}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -42,9 +42,9 @@
 	return z
 }
 
-func (z *simulatedZone) submit(group string, processors int64, urgent bool, declared, truth time.Duration) string {
+func (z *simulatedZone) submit(group string, processors int64, urgent bool, declared, actual time.Duration) string {
 	id := fmt.Sprintf("%s-%04d", group, len(z.trueDuration))
-	z.trueDuration[id] = truth
+	z.trueDuration[id] = actual
 	z.in.Queue = append(z.in.Queue, Task{ID: id, Group: group, Need: cores(processors), Urgent: urgent, Submitted: z.now, Duration: declared})
 	return id
 }
