--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -13,27 +13,27 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Time-outs of calls. They are far above a calm answer, a few milliseconds,
-// and above that of a slow store, a quarter of a second.
+// Timeouts of calls. A call usually takes a few milliseconds; a slow store takes
+// a quarter of a second.
 const (
 	orderTimeout    = 900 * time.Millisecond
-	adviceTimeout   = 4 * time.Second        // an answer takes time for each worker named
-	machinesTimeout = 600 * time.Millisecond // on top of orderTimeout; the list may come in pages
+	adviceTimeout   = 4 * time.Second        // an answer takes time for each worker in the request
+	machinesTimeout = 600 * time.Millisecond // added to orderTimeout; the list may take several pages
 	claimTimeout    = 1500 * time.Millisecond
 	saveTimeout     = 1200 * time.Millisecond
 )
 
-// claim is the outcome of a claim of the cell.
-type claim struct {
+// claimResult is the outcome of an attempt to claimResult the cell.
+type claimResult struct {
 	owner catalog.Owner
 	err   error
 }
 
-// control is the goroutine that alone touches the election and the cell.
+// control is the event loop. Only its goroutine uses the election and the cell.
 func (d *Dispatcher) control() error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	leave := d.leave
+	leave := d.leaveRequested
 	for {
 		select {
 		case <-d.tomb.Dying():
@@ -42,18 +42,18 @@
 			d.tick()
 		case in := <-d.inputs:
 			d.step(in)
-		case <-d.woken:
-			d.news()
-		case c := <-d.claims:
-			d.claimed(c)
-		case waves := <-d.wavesIn:
+		case <-d.updated:
+			d.applyUpdates()
+		case c := <-d.claimResults:
+			d.handleClaim(c)
+		case waves := <-d.waveUpdates:
 			d.waves = waves
 			d.step(cell.Waves{Waves: waves})
-		case zones := <-d.cordonsIn:
-			d.cordoned = zones
+		case zones := <-d.cordonUpdates:
+			d.cordonedZones = zones
 			d.step(cell.Cordoned{AvailabilityZones: zones})
-		case list := <-d.lists:
-			d.takeList(list)
+		case list := <-d.hostListUpdates:
+			d.handleHostList(list)
 		case <-leave:
 			leave = nil
 			d.beginLeave()
@@ -65,32 +65,30 @@
 	if d.cell != nil {
 		d.step(cell.Tick{Wall: time.Now()})
 		if d.cell != nil && d.cell.Left() {
-			d.drop("left")
+			d.relinquish("left")
 		}
 		return
 	}
-	if d.isLeaving() || !d.hearOwner() {
+	if d.isLeaving() || !d.observeOwner() {
 		return
 	}
-	if !d.claiming && d.mayClaim() && d.election.Stand(d.clock(), d.progress.Age()) {
-		d.claim()
+	if !d.claiming && d.canClaim() && d.election.Stand(d.clock(), d.progress.Age()) {
+		d.startClaim()
 	}
 }
 
-// mayClaim reports whether a claim could be followed by what an owner has to read.
-//
-// What goes wrong without it: the stream of accepted jobs can't be read for five
-// seconds, the owner falls silent meanwhile, and the largest instance claims the cell.
-// It waits for its reads and is silent in its turn; when they are answered again, a
-// small one has claimed the next term, with thousands of tasks waiting. It shows as two
-// claims, the first without a line "owner". Nobody can own the cell meanwhile, so
-// nothing is lost by waiting.
-func (d *Dispatcher) mayClaim() bool {
+// canClaim reports whether the stream of accepted jobs is readable. A new owner has to
+// read it before its first heartbeat. An instance that claimed the cell while the stream
+// fails, say for five seconds, would send no heartbeat and lose the cell to the next
+// claim, possibly by a smaller instance with thousands of tasks waiting. The log then has
+// two claims, the first without a line "owner". Waiting costs nothing, since no instance
+// can become owner meanwhile.
+func (d *Dispatcher) canClaim() bool {
 	return !d.accepts.Failing()
 }
 
-// known reports whether both streams were read.
-func (d *Dispatcher) known() bool {
+// streamsLoaded reports whether both streams were read to their ends at least once.
+func (d *Dispatcher) streamsLoaded() bool {
 	select {
 	case <-d.accepts.Loaded():
 	default:
@@ -104,10 +102,10 @@
 	}
 }
 
-// news looks at what the streams brought.
-func (d *Dispatcher) news() {
-	if t := d.table.Load(); t != d.seen {
-		d.seen = t
+// applyUpdates applies a new configuration and new records of the streams.
+func (d *Dispatcher) applyUpdates() {
+	if t := d.table.Load(); t != d.appliedTable {
+		d.appliedTable = t
 		d.step(cell.Configured{Table: t})
 	}
 	if d.cell != nil {
@@ -116,72 +114,73 @@
 		}
 		return
 	}
-	d.hearOwner()
+	d.observeOwner()
 }
 
-// hearOwner takes note of who owns the cell, and reports whether that is known.
+// observeOwner passes the recorded owner to the election, and reports whether the
+// streams are loaded.
 //
-// What goes wrong if only news of the streams lead to it: the news of the last
-// read at start-up may be handled before that read is marked as done, and an
-// empty store brings no further ones. The cell stays without an owner until a job
-// comes: no line "claim" for 20 s and more, in 1 of 20 starts with 12 processes on
-// 8 processors. So each tick looks too.
-func (d *Dispatcher) hearOwner() bool {
-	if !d.known() {
+// It also runs on every tick. The notification of the last read at startup may be
+// handled before that read is marked as done, and an empty store sends no further
+// notification. Without the tick the cell would have no owner until a job arrives:
+// in 1 of 20 starts with 12 processes on 8 processors there was no line "claim" for
+// more than 20 s.
+func (d *Dispatcher) observeOwner() bool {
+	if !d.streamsLoaded() {
 		return false
 	}
 	d.election.Observe(d.clock(), d.catalog.Owner())
-	d.settleClaim()
+	d.resumeRecordedClaim()
 	return true
 }
 
-// settleClaim goes on with a claim that turns out to be on record, though its
-// answer was lost or what was written before it couldn't be read.
-func (d *Dispatcher) settleClaim() {
+// resumeRecordedClaim resumes a claim of this process that is on record although it failed:
+// its answer was lost, or the records written before it couldn't be read.
+func (d *Dispatcher) resumeRecordedClaim() {
 	owner := d.catalog.Owner()
-	if d.claiming || owner.Nonce != d.nonce || owner.Term <= d.term || owner.Leaving || d.clock() < d.settleAfter {
+	if d.claiming || owner.Nonce != d.nonce || owner.Term <= d.term || owner.Leaving || d.clock() < d.resumeClaimAt {
 		return
 	}
-	d.settleAfter = d.clock() + settleEvery
+	d.resumeClaimAt = d.clock() + resumeClaimInterval
 	d.claiming = true
-	d.conclude(owner, d.readToEnd)
+	d.finishClaim(owner, d.readToEnd)
 }
 
-// settleEvery is the time between two tries to read what was written before a
-// claim.
-const settleEvery = 100 * time.Millisecond
+// resumeClaimInterval is the interval between two attempts to resume a recorded claim.
+const resumeClaimInterval = 100 * time.Millisecond
 
-// claim tries to become the cell's owner.
-func (d *Dispatcher) claim() {
+// startClaim starts an attempt to become the cell's owner.
+func (d *Dispatcher) startClaim() {
 	d.claiming = true
 	owner := catalog.Owner{
 		Term:     d.election.Term(),
 		Instance: d.instance,
 		Nonce:    d.nonce,
-		Sequence: rand.Uint64N(sequences),
+		Sequence: rand.Uint64N(sequenceRange),
 	}
 	next := d.progress.Next()
-	d.conclude(owner, func(ctx context.Context) error { return d.tryClaim(ctx, owner, next) })
+	d.finishClaim(owner, func(ctx context.Context) error { return d.tryClaim(ctx, owner, next) })
 }
 
-// conclude does what is left of a claim, and has its outcome taken.
-func (d *Dispatcher) conclude(owner catalog.Owner, rest func(context.Context) error) {
+// finishClaim runs the remaining steps of a claim in the background and sends the
+// outcome to the control goroutine.
+func (d *Dispatcher) finishClaim(owner catalog.Owner, complete func(context.Context) error) {
 	d.tomb.Go(func() error {
 		ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), claimTimeout)
 		defer cancel()
-		d.claims <- claim{owner: owner, err: rest(ctx)}
+		d.claimResults <- claimResult{owner: owner, err: complete(ctx)}
 		return nil
 	})
 }
 
-// sequences is the range of a claim's first sequence. Two instances that
-// claim the same term with the same sequence would both be told that they have
-// it, the second as if it repeated the first one's write. Drawn at random from
-// so many, that doesn't happen.
-const sequences = 1 << 48
+// sequenceRange is the range from which a claim's first sequence number is drawn at random.
+// If two instances claimed the same term with the same sequence, the store would take
+// the second claim for a retry of the first and acknowledge both. The range makes that
+// practically impossible.
+const sequenceRange = 1 << 48
 
-// tryClaim writes the owner's record under a new term, if nothing was written
-// since this instance last read.
+// tryClaim writes the owner's record under a new term, provided that nothing was
+// written since this instance's last read, and reads both streams to their ends.
 func (d *Dispatcher) tryClaim(ctx context.Context, owner catalog.Owner, next uint64) error {
 	record, err := catalog.OwnerRecord(owner)
 	if err != nil {
@@ -194,13 +193,13 @@
 	return d.readToEnd(ctx)
 }
 
-// readToEnd reads both streams to their ends. An owner that has set its term
-// knows then what the last one wrote before it was fenced, and every job that
-// has any progress: it would take that of others for left over, and drop it.
-// The list of workers is read beside them.
+// readToEnd reads both streams to their ends and the list of workers beside them.
+// Once the term is set, the previous owner is fenced, so that the new one sees its last
+// writes. The new owner must also know every job that has progress, since it
+// deletes progress without a job as orphaned.
 func (d *Dispatcher) readToEnd(ctx context.Context) error {
-	listed := d.beginList(ctx)
-	defer func() { <-listed }()
+	listRead := d.prefetchList(ctx)
+	defer func() { <-listRead }()
 	if err := d.progress.Refresh(ctx); err != nil {
 		return fault.Wrap(fault.MayHaveRun, err, "read what was written before the claim")
 	}
@@ -210,49 +209,49 @@
 	return nil
 }
 
-// writerName is the fenced writer of the progress stream.
+// writerName names the fenced writer of the progress stream.
 const writerName = "owner"
 
-func (d *Dispatcher) claimed(c claim) {
+func (d *Dispatcher) handleClaim(c claimResult) {
 	d.claiming = false
 	d.logger.Info("claim", zap.Uint64("term", c.owner.Term), zap.Error(c.err))
 	if c.err != nil {
 		d.election.Failed(d.clock())
 		return
 	}
-	d.own(c.owner)
+	d.becomeOwner(c.owner)
 }
 
-// own begins to decide for the cell.
-func (d *Dispatcher) own(owner catalog.Owner) {
+// becomeOwner creates the cell's state from the catalog and starts to act as its owner.
+func (d *Dispatcher) becomeOwner(owner catalog.Owner) {
 	term := owner.Term
 	self := cell.Self{Instance: d.instance, Nonce: d.nonce, Term: term, Sequence: owner.Sequence}
-	owned, err := cell.New(self, d.timing, d.catalog, d.clock(), time.Now())
+	c, err := cell.New(self, d.timing, d.catalog, d.clock(), time.Now())
 	if err != nil {
 		d.logger.Error("cell not taken", zap.Uint64("term", term), zap.Error(err))
 		d.election.Failed(d.clock())
 		return
 	}
 	d.term = term
-	d.cell = owned
+	d.cell = c
 	d.setOwning(true, ownerSpacing)
 	d.counters.owned.Add(1)
 	d.logger.Info("owner", zap.Uint64("term", term), zap.Int("jobs", d.catalog.Len()), zap.Int("workers", len(d.catalog.Hosts())))
 	d.step(cell.Configured{Table: d.table.Load()})
-	if len(d.cordoned) > 0 {
-		d.step(cell.Cordoned{AvailabilityZones: d.cordoned})
+	if len(d.cordonedZones) > 0 {
+		d.step(cell.Cordoned{AvailabilityZones: d.cordonedZones})
 	}
-	d.giveList()
+	d.applyNewestList()
 	d.step(cell.Waves{Waves: d.waves})
 	if d.isLeaving() {
-		d.cell.Leave() // the claim was under way when the stop began
+		d.cell.Leave() // Leave was called during the claim
 	}
 	d.step(cell.Tick{Wall: time.Now()})
 }
 
 func (d *Dispatcher) isLeaving() bool {
 	select {
-	case <-d.leave:
+	case <-d.leaveRequested:
 		return true
 	default:
 		return false
@@ -265,8 +264,8 @@
 	d.onOwning(owning)
 }
 
-// drop stops deciding.
-func (d *Dispatcher) drop(reason string) {
+// relinquish gives up the ownership of the cell.
+func (d *Dispatcher) relinquish(reason string) {
 	d.logger.Info("owner no more", zap.Uint64("term", d.term), zap.String("reason", reason))
 	d.cell = nil
 	d.setOwning(false, acceptsSpacing)
@@ -283,15 +282,15 @@
 	d.step(cell.Tick{Wall: time.Now()})
 }
 
-// endLeave tells Leave that the cell is given up.
+// endLeave unblocks Leave, if it was called.
 func (d *Dispatcher) endLeave() {
 	if !d.isLeaving() {
 		return
 	}
 	select {
-	case <-d.left:
+	case <-d.leaveDone:
 	default:
-		close(d.left)
+		close(d.leaveDone)
 	}
 }
 
@@ -300,12 +299,12 @@
 		return
 	}
 	for _, a := range d.cell.Step(d.clock(), in) {
-		d.carryOut(a)
+		d.execute(a)
 	}
 }
 
-// put hands an input to the control goroutine.
-func (d *Dispatcher) put(in cell.Input) {
+// sendInput sends an input to the control goroutine.
+func (d *Dispatcher) sendInput(in cell.Input) {
 	select {
 	case d.inputs <- in:
 	case <-d.tomb.Dying():
--- a/dispatcher/control_test.go
+++ b/dispatcher/control_test.go
@@ -11,7 +11,7 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// emptyStore holds nothing and takes claims.
+// emptyStore holds no records and accepts claims.
 type emptyStore struct{ provider.Keyed }
 
 func (emptyStore) Newest(context.Context, string, string) (provider.KeyedPage, error) {
@@ -26,12 +26,13 @@
 	return nil
 }
 
-// Guards against a cell on an empty store without an owner.
+// Guards against a cell without an owner on an empty store: the notification of the
+// last read is handled before the read is marked as done, and none follows.
 func TestElectionHearsOfAnEmptyStore(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
 	d := New(Platform{Store: emptyStore{}}, WithInstance("e1"), WithProcessors(1), WithClock(func() time.Duration { return now }))
-	d.news() // before either stream is marked as read
+	d.applyUpdates() // before either stream is marked as read
 	is.NoErr(d.progress.Refresh(t.Context()))
 	is.NoErr(d.accepts.Refresh(t.Context()))
 	d.tick()
--- a/dispatcher/counters.go
+++ b/dispatcher/counters.go
@@ -12,31 +12,31 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// Latencies are counted from a tenth of a millisecond to a minute.
+// Range of the latency histograms, in microseconds: a tenth of a millisecond to a minute.
 const (
-	leastLatency  = 100
-	longestMicros = 60_000_000
-	digits        = 2
+	minLatencyMicros  = 100
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 2
 )
 
-// Latency is a histogram of durations. It may be used by several goroutines.
+// Latency is a histogram of durations. It is safe for concurrent use.
 type Latency struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
 func newLatency() *Latency {
-	return &Latency{h: hdrhistogram.New(leastLatency, longestMicros, digits)}
+	return &Latency{h: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)}
 }
 
 // Record counts a duration.
 func (l *Latency) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.h.RecordValue(min(d.Microseconds(), longestMicros)) // in range by min
+	_ = l.h.RecordValue(min(d.Microseconds(), maxLatencyMicros)) // min keeps it in range, so that it can't fail
 }
 
-// Quantiles returns the count and some quantiles, in microseconds.
+// Quantiles returns the number of durations, some quantiles and the maximum, in microseconds.
 func (l *Latency) Quantiles() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,62 +51,62 @@
 
 // Counters are the dispatcher's metrics.
 type Counters struct {
-	vars       *expvar.Map
-	owned      expvar.Int
-	starts     expvar.Int
-	stops      expvar.Int
-	holds      expvar.Int
-	holdsLost  expvar.Int
-	saves      expvar.Int
-	savesLost  expvar.Int
-	jobs       expvar.Int
-	rejected   expvar.Int
-	listed     atomic.Int64 // as of when the list of workers is known, on the dispatcher's clock
-	startTime  *Latency
-	saveTime   *Latency
-	acceptTime *Latency
+	vars            *expvar.Map
+	owned           expvar.Int
+	starts          expvar.Int
+	stops           expvar.Int
+	holds           expvar.Int
+	holdsUnanswered expvar.Int
+	saves           expvar.Int
+	savesFailed     expvar.Int
+	jobs            expvar.Int
+	rejected        expvar.Int
+	listAsOf        atomic.Int64 // AsOf of the newest list of workers, nanoseconds on the dispatcher's clock
+	startLatency    *Latency
+	saveLatency     *Latency
+	acceptLatency   *Latency
 }
 
 func newCounters(clock func() time.Duration) *Counters {
-	c := &Counters{vars: new(expvar.Map).Init(), startTime: newLatency(), saveTime: newLatency(), acceptTime: newLatency()}
+	c := &Counters{vars: new(expvar.Map).Init(), startLatency: newLatency(), saveLatency: newLatency(), acceptLatency: newLatency()}
 	for name, v := range map[string]expvar.Var{
-		"owned": &c.owned, "starts": &c.starts, "stops": &c.stops, "holds": &c.holds, "holds_unanswered": &c.holdsLost,
-		"saves": &c.saves, "saves_failed": &c.savesLost, "jobs_accepted": &c.jobs, "jobs_rejected": &c.rejected,
+		"owned": &c.owned, "starts": &c.starts, "stops": &c.stops, "holds": &c.holds, "holds_unanswered": &c.holdsUnanswered,
+		"saves": &c.saves, "saves_failed": &c.savesFailed, "jobs_accepted": &c.jobs, "jobs_rejected": &c.rejected,
 		"list_age_ms": expvar.Func(func() any { return c.listAge(clock()).Milliseconds() }),
-		"start_us":    quantiles(c.startTime), "save_us": quantiles(c.saveTime), "accept_us": quantiles(c.acceptTime),
+		"start_us":    quantilesVar(c.startLatency), "save_us": quantilesVar(c.saveLatency), "accept_us": quantilesVar(c.acceptLatency),
 	} {
 		c.vars.Set(name, v)
 	}
 	return c
 }
 
-// listAge returns how old the list of workers is, of which an instance that
-// doesn't own the cell reads none.
+// listAge returns the age of the list of workers. It grows on an instance that doesn't
+// own the cell, since only the owner reads the list.
 func (c *Counters) listAge(now time.Duration) time.Duration {
-	return now - time.Duration(c.listed.Load())
+	return now - time.Duration(c.listAsOf.Load())
 }
 
-func quantiles(l *Latency) expvar.Func {
+func quantilesVar(l *Latency) expvar.Func {
 	return func() any { return l.Quantiles() }
 }
 
-func (c *Counters) held(err error) {
+func (c *Counters) recordHold(err error) {
 	c.holds.Add(1)
 	if err != nil {
-		c.holdsLost.Add(1)
+		c.holdsUnanswered.Add(1)
 	}
 }
 
-func (c *Counters) saved(took time.Duration, err error) {
+func (c *Counters) recordSave(took time.Duration, err error) {
 	c.saves.Add(1)
-	c.saveTime.Record(took)
+	c.saveLatency.Record(took)
 	if err != nil {
-		c.savesLost.Add(1)
+		c.savesFailed.Add(1)
 	}
 }
 
-func (c *Counters) accepted(took time.Duration, err error) {
-	c.acceptTime.Record(took)
+func (c *Counters) recordAccept(took time.Duration, err error) {
+	c.acceptLatency.Record(took)
 	if err != nil {
 		c.rejected.Add(1)
 		return
@@ -119,43 +119,43 @@
 	return d.counters.vars
 }
 
-// reporter logs that a dependency gives no answer, a line in reportEvery, and
-// that it answers again.
-type reporter struct {
+// outageLogger logs the outages of a dependency: at most one line per outageLogInterval while it
+// fails, and one when it answers again.
+type outageLogger struct {
 	logger     *zap.Logger
 	dependency string
-	part       string
+	stream     string
 
-	mu    sync.Mutex
-	since time.Time // of the first failure after an answer, zero if there is none
-	last  time.Time // line
+	mu           sync.Mutex
+	failingSince time.Time // first failure of the current outage; zero while the dependency answers
+	lastLogAt    time.Time // last logged line
 }
 
-func (r *reporter) failed(err error) {
+func (r *outageLogger) handleFailure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.since.IsZero() {
-		r.since = now
+	if r.failingSince.IsZero() {
+		r.failingSince = now
 	}
-	if now.Sub(r.last) < reportEvery {
+	if now.Sub(r.lastLogAt) < outageLogInterval {
 		return
 	}
-	r.last = now
-	r.logger.Warn("no answer", zap.String("from", r.dependency), zap.String("part", r.part),
+	r.lastLogAt = now
+	r.logger.Warn("no answer", zap.String("from", r.dependency), zap.String("part", r.stream),
 		zap.Stringer("kind", fault.KindOf(err)), zap.Error(err))
 }
 
-func (r *reporter) answered() {
+func (r *outageLogger) handleAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.since.IsZero() {
+	if r.failingSince.IsZero() {
 		return
 	}
-	r.logger.Info("answers again", zap.String("from", r.dependency), zap.String("part", r.part),
-		zap.Duration("after", time.Since(r.since)))
-	r.since = time.Time{}
+	r.logger.Info("answers again", zap.String("from", r.dependency), zap.String("part", r.stream),
+		zap.Duration("after", time.Since(r.failingSince)))
+	r.failingSince = time.Time{}
 }
 
-// reportEvery bounds the lines about a dependency that stays away.
-const reportEvery = time.Second
+// outageLogInterval is the minimum interval between two lines about the same outage.
+const outageLogInterval = time.Second
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatcher runs one instance of the batch scheduler: it accepts jobs
-// into the platform's store, answers for every job, and while it owns the cell
-// it carries out what package cell decides.
+// into the platform's store, answers queries about every job, and executes the
+// decisions of package cell while it owns the cell.
 //
 // Usage:
 //
@@ -10,9 +10,9 @@
 //	err := d.Submit(ctx, j)
 //	state, err := d.State(ctx, j.ID)
 //
-// Every instance runs the same parts. What is accepted, cancelled and ended
-// is known to all of them by the two streams of package catalog, so that any
-// instance can take and answer any request, and become the owner.
+// All instances run the same components. Each reads the two streams of package
+// catalog, which hold the accepted, cancelled and ended jobs, so that any instance can
+// serve any request and become the owner.
 package dispatcher
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/dogwoodladder/dogwoodladder/tail"
 )
 
-// Platform is what the dispatcher needs from outside. Adviser and Machines
+// Platform holds the services that the dispatcher uses. Adviser and Machines
 // may be nil where the site has none.
 type Platform struct {
 	Store    provider.Keyed
@@ -41,22 +41,22 @@
 	Machines provider.Machines
 }
 
-// Spacings of reads. The owner has to learn of a job at once; the others only
-// answer for it, and each of their reads costs the store a call.
+// Intervals between reads of the streams. The owner has to see a new job at once. The
+// other instances only answer queries, and each of their reads costs the store a call.
 const (
 	ownerSpacing    = 10 * time.Millisecond
-	acceptsSpacing  = time.Second            // a job that isn't known is looked for at once
-	progressSpacing = 250 * time.Millisecond // by which a state may be old
-	stateAge        = 40 * time.Millisecond  // from which a state is read anew for a caller that asks
-	freshenTimeout  = 100 * time.Millisecond // after it the caller is told what is known
-	progressWait    = 300 * time.Millisecond // below election.Timing.Fresh
+	acceptsSpacing  = time.Second            // a query for an unknown job reads at once
+	progressSpacing = 250 * time.Millisecond // staleness of a job's state
+	maxStateAge     = 40 * time.Millisecond  // an older state is refreshed before it is returned
+	refreshTimeout  = 100 * time.Millisecond // of that refresh; then the known state is returned
+	progressWait    = 300 * time.Millisecond // long poll; below election.Timing.Fresh
 )
 
-// tickEvery is the time between two looks at the clock. It bounds how late
-// the owner repeats, extends and gives up.
-const tickEvery = 10 * time.Millisecond
+// tickInterval is the interval between ticks of the control goroutine. It bounds the delay
+// of the owner's retries, lease renewals and timeouts.
+const tickInterval = 10 * time.Millisecond
 
-// Dispatcher is one instance. It is run once.
+// Dispatcher is one instance of the batch scheduler. Run may be called once.
 type Dispatcher struct {
 	platform   Platform
 	instance   string
@@ -66,69 +66,69 @@
 	logger     *zap.Logger
 	clock      func() time.Duration
 
-	tomb     tomb.Tomb
-	catalog  *catalog.Catalog
-	accepts  *tail.Tail
-	progress *tail.Tail
-	intake   *intake
-	table    atomic.Pointer[queue.Table]
-	inputs   chan cell.Input
-	woken    chan struct{}
-	leave    chan struct{}
-	left     chan struct{}
-	owning   atomic.Bool
-	onOwning func(bool)
-	readList func(context.Context) error
-	counters *Counters
+	tomb           tomb.Tomb
+	catalog        *catalog.Catalog
+	accepts        *tail.Tail
+	progress       *tail.Tail
+	intake         *intake
+	table          atomic.Pointer[queue.Table]
+	inputs         chan cell.Input
+	updated        chan struct{}
+	leaveRequested chan struct{}
+	leaveDone      chan struct{}
+	owning         atomic.Bool
+	onOwning       func(bool)
+	readList       func(context.Context) error
+	counters       *Counters
 
 	// Owned by the control goroutine.
-	election    *election.Election
-	cell        *cell.Cell
-	term        uint64
-	claiming    bool
-	settleAfter time.Duration // no try to settle a claim before then
-	claims      chan claim
-	list        hostList
-	seen        *queue.Table
-	lists       chan provider.HostList
-	waves       []provider.Wave
-	wavesIn     chan []provider.Wave
-	cordoned    []string // availability zones
-	cordonsIn   chan []string
+	election        *election.Election
+	cell            *cell.Cell
+	term            uint64
+	claiming        bool
+	resumeClaimAt   time.Duration // earliest next attempt to resume a recorded claim
+	claimResults    chan claimResult
+	hostList        hostList
+	appliedTable    *queue.Table
+	hostListUpdates chan provider.HostList
+	waves           []provider.Wave
+	waveUpdates     chan []provider.Wave
+	cordonedZones   []string // names of availability zones
+	cordonUpdates   chan []string
 }
 
-// Option sets up a Dispatcher.
+// Option configures a Dispatcher.
 type Option func(*Dispatcher)
 
-// WithInstance sets the name of this instance, which must be its own.
+// WithInstance sets the name of this instance, which must be unique.
 func WithInstance(name string) Option {
 	return func(d *Dispatcher) { d.instance = name }
 }
 
-// WithProcessors sets how many processors the instance has, a fraction where
-// it has a share of one. Instances with more of them become owner first.
+// WithProcessors sets the number of processors of the instance, which may be a
+// fraction. Instances with more processors claim the cell earlier.
 func WithProcessors(n float64) Option {
 	return func(d *Dispatcher) { d.processors = n }
 }
 
-// WithLogger sets where decisions go; the default drops them.
+// WithLogger sets the logger; by default nothing is logged.
 func WithLogger(l *zap.Logger) Option {
 	return func(d *Dispatcher) { d.logger = l }
 }
 
-// WithTiming sets the bounds of the cell.
+// WithTiming sets the intervals and timeouts of the cell.
 func WithTiming(t cell.Timing) Option {
 	return func(d *Dispatcher) { d.timing = t }
 }
 
-// WithOwning sets what is told when this instance becomes the cell's owner and
-// when it is no more. Only an owner needs the list of workers.
+// WithOwning sets a callback that gets true when this instance becomes the cell's owner
+// and false when it loses the ownership. Only the owner needs the list of workers.
 func WithOwning(f func(bool)) Option {
 	return func(d *Dispatcher) { d.onOwning = f }
 }
 
-// WithClock sets the clock of all decisions. It has to go on while the machine
-// is suspended, or leases that ended meanwhile would count as in force.
+// WithClock sets the clock of all decisions. It must keep running while the machine
+// is suspended; otherwise leases that expired meanwhile would count as valid.
 func WithClock(clock func() time.Duration) Option {
 	return func(d *Dispatcher) { d.clock = clock }
 }
@@ -137,22 +137,22 @@
 func New(p Platform, opts ...Option) *Dispatcher {
 	begun := time.Now()
 	d := &Dispatcher{
-		platform:  p,
-		nonce:     rand.Uint64(),
-		timing:    cell.DefaultTiming(),
-		logger:    zap.NewNop(),
-		clock:     func() time.Duration { return time.Since(begun) },
-		catalog:   catalog.New(),
-		inputs:    make(chan cell.Input, 4096),
-		woken:     make(chan struct{}, 1),
-		leave:     make(chan struct{}),
-		left:      make(chan struct{}),
-		claims:    make(chan claim, 1),
-		lists:     make(chan provider.HostList, 1),
-		wavesIn:   make(chan []provider.Wave, 1),
-		cordonsIn: make(chan []string, 1),
-		onOwning:  func(bool) {},
-		readList:  func(context.Context) error { return nil },
+		platform:        p,
+		nonce:           rand.Uint64(),
+		timing:          cell.DefaultTiming(),
+		logger:          zap.NewNop(),
+		clock:           func() time.Duration { return time.Since(begun) },
+		catalog:         catalog.New(),
+		inputs:          make(chan cell.Input, 4096),
+		updated:         make(chan struct{}, 1),
+		leaveRequested:  make(chan struct{}),
+		leaveDone:       make(chan struct{}),
+		claimResults:    make(chan claimResult, 1),
+		hostListUpdates: make(chan provider.HostList, 1),
+		waveUpdates:     make(chan []provider.Wave, 1),
+		cordonUpdates:   make(chan []string, 1),
+		onOwning:        func(bool) {},
+		readList:        func(context.Context) error { return nil },
 	}
 	for _, opt := range opts {
 		opt(d)
@@ -166,9 +166,9 @@
 }
 
 func (d *Dispatcher) newTail(stream string, fold func(provider.KeyedRecord) error, opts ...tail.Option) *tail.Tail {
-	report := &reporter{logger: d.logger, dependency: "store", part: stream}
+	report := &outageLogger{logger: d.logger, dependency: "store", stream: stream}
 	apply := func(b tail.Batch) {
-		report.answered()
+		report.handleAnswer()
 		if len(b.Records) == 0 && !b.Whole {
 			return
 		}
@@ -177,21 +177,21 @@
 				d.logger.Warn("record not understood", zap.String("stream", stream), zap.String("key", r.Key), zap.Error(err))
 			}
 		}
-		d.wake()
+		d.notifyUpdate()
 	}
-	opts = append(opts, tail.WithErrors(report.failed), tail.WithClock(d.clock))
+	opts = append(opts, tail.WithErrors(report.handleFailure), tail.WithClock(d.clock))
 	return tail.New(d.platform.Store, stream, apply, opts...)
 }
 
-// wake has the control goroutine look at what the streams brought.
-func (d *Dispatcher) wake() {
+// notifyUpdate notifies the control goroutine of a new configuration or new records.
+func (d *Dispatcher) notifyUpdate() {
 	select {
-	case d.woken <- struct{}{}:
+	case d.updated <- struct{}{}:
 	default:
 	}
 }
 
-// Run serves until ctx is done, then gives up the cell and stops.
+// Run serves until ctx is done, then stops all goroutines and waits for them.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	d.tomb.Go(func() error {
 		inner := d.tomb.Context(context.Background())
@@ -209,20 +209,19 @@
 	return d.tomb.Wait()
 }
 
-// Leave gives up the cell, if this instance owns it, so that another takes it
-// at once. It returns when that is on record or ctx is done. Requests are
-// served on.
+// Leave hands the cell over, if this instance owns it, so that another instance can
+// claim it at once. It returns when that is on record or ctx is done. The instance
+// keeps serving requests.
 func (d *Dispatcher) Leave(ctx context.Context) {
-	close(d.leave)
+	close(d.leaveRequested)
 	select {
-	case <-d.left:
+	case <-d.leaveDone:
 	case <-ctx.Done():
 		d.logger.Warn("handover cut short")
 	}
 }
 
-// Configure puts a configuration in force. An older one than is in force is
-// ignored.
+// Configure applies a configuration, unless its version isn't above the current one.
 func (d *Dispatcher) Configure(t *queue.Table) {
 	for {
 		old := d.table.Load()
@@ -231,30 +230,30 @@
 		}
 		if d.table.CompareAndSwap(old, t) {
 			d.logger.Info("configuration", zap.Uint64("version", t.Version))
-			d.wake()
+			d.notifyUpdate()
 			return
 		}
 	}
 }
 
-// Table returns the configuration in force, nil before the first.
+// Table returns the current configuration, nil before the first.
 func (d *Dispatcher) Table() *queue.Table {
 	return d.table.Load()
 }
 
-// SetWaves hands over the waves of upkeep that the operators asked for, whole.
+// SetWaves replaces the waves of machine upkeep that the operators requested.
 func (d *Dispatcher) SetWaves(waves []provider.Wave) {
-	replace(d.wavesIn, waves)
+	replace(d.waveUpdates, waves)
 }
 
-// SetCordons hands over the availability zones whose workers the operators want to
-// get no new tasks, all of them.
+// SetCordons replaces the set of cordoned availability zones. Their workers get no new
+// tasks.
 func (d *Dispatcher) SetCordons(zones []string) {
-	replace(d.cordonsIn, zones)
+	replace(d.cordonUpdates, zones)
 }
 
-// replace puts a value into a channel of one, in place of an older one that
-// nobody has looked at.
+// replace puts a value into a channel of capacity 1. It replaces a value that wasn't
+// received yet.
 func replace[T any](c chan T, value T) {
 	for {
 		select {
@@ -274,12 +273,12 @@
 	return d.owning.Load()
 }
 
-// readyAge is how old the last answer of the store may be for an instance that
-// takes requests. It spans a slow answer and one repeat.
-const readyAge = 2500 * time.Millisecond
+// maxReadyAge is the maximum age of the store's last answer for a ready instance. It covers
+// a slow answer and one retry.
+const maxReadyAge = 2500 * time.Millisecond
 
-// Ready reports whether the instance can take jobs: it has a configuration,
-// knows all jobs and reaches the store.
+// Ready reports whether the instance can accept jobs: it has a configuration, and the
+// store answered reads of both streams recently.
 func (d *Dispatcher) Ready() bool {
-	return d.table.Load() != nil && d.accepts.Age() < readyAge && d.progress.Age() < readyAge
+	return d.table.Load() != nil && d.accepts.Age() < maxReadyAge && d.progress.Age() < maxReadyAge
 }
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -21,30 +21,30 @@
 	"github.com/dogwoodladder/dogwoodladder/queue"
 )
 
-// slowStore takes one write at a time in each stream, and refuses those that
-// would wait for more than two seconds.
+// slowStore serializes the writes of each stream, and refuses those that would wait for
+// more than two seconds.
 type slowStore struct {
-	mu      sync.Mutex
-	streams map[string]*stream
-	each    time.Duration
-	refuse  bool
-	mute    bool   // writes are neither done nor answered
-	unread  string // stream whose reads fail
-	claimed func() // called before the first claim is written
-	writes  int
+	mu          sync.Mutex
+	streams     map[string]*stream
+	writeTime   time.Duration
+	refuse      bool
+	unanswered  bool   // writes to stream Accepts are neither applied nor answered
+	unreadable  string // stream whose reads fail
+	beforeClaim func() // called before the first claim is written
+	writes      int
 }
 
 type stream struct {
-	records []provider.KeyedRecord
-	free    time.Time // when the writes that wait are done
-	term    uint64
-	last    uint64
+	records      []provider.KeyedRecord
+	freeAt       time.Time // when all queued writes are done
+	term         uint64
+	lastSequence uint64
 }
 
-const longestQueue = 2 * time.Second
+const maxQueueTime = 2 * time.Second
 
 func newSlowStore(each time.Duration) *slowStore {
-	return &slowStore{streams: make(map[string]*stream), each: each}
+	return &slowStore{streams: make(map[string]*stream), writeTime: each}
 }
 
 func (s *slowStore) stream(name string) *stream {
@@ -67,7 +67,7 @@
 	until := time.Now().Add(wait)
 	for {
 		s.mu.Lock()
-		if s.unread == name {
+		if s.unreadable == name {
 			s.mu.Unlock()
 			return provider.KeyedPage{}, fault.New(fault.Unavailable, "reset")
 		}
@@ -91,8 +91,8 @@
 
 func (s *slowStore) Claim(ctx context.Context, name string, w provider.Writer, next uint64, record provider.KeyedRecord) error {
 	s.mu.Lock()
-	claimed := s.claimed
-	s.claimed = nil
+	claimed := s.beforeClaim
+	s.beforeClaim = nil
 	s.mu.Unlock()
 	if claimed != nil {
 		claimed()
@@ -104,18 +104,18 @@
 	s.mu.Lock()
 	p := s.stream(name)
 	s.writes++
-	if s.mute && name == catalog.Accepts {
+	if s.unanswered && name == catalog.Accepts {
 		s.mu.Unlock()
 		<-ctx.Done()
 		return fault.Wrap(fault.MayHaveRun, ctx.Err(), "write")
 	}
-	waiting := time.Until(p.free)
-	if s.refuse || waiting > longestQueue {
+	waiting := time.Until(p.freeAt)
+	if s.refuse || waiting > maxQueueTime {
 		s.mu.Unlock()
 		return fault.New(fault.Unavailable, "refused")
 	}
-	p.free = time.Now().Add(max(0, waiting) + s.each)
-	done := time.Until(p.free)
+	p.freeAt = time.Now().Add(max(0, waiting) + s.writeTime)
+	done := time.Until(p.freeAt)
 	s.mu.Unlock()
 	result := make(chan error, 1)
 	time.AfterFunc(done, func() { result <- s.apply(p, w, next, records) })
@@ -131,26 +131,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case w != nil && w.Term == p.term && w.Sequence == p.last:
-		return nil // a repeat gets its first answer
+	case w != nil && w.Term == p.term && w.Sequence == p.lastSequence:
+		return nil // a retry gets the first answer
 	case next != nil && *next != uint64(len(p.records)):
 		return fault.New(fault.Conflict, "moved on")
 	case w != nil && w.Term < p.term:
 		return fault.New(fault.StaleEpoch, "fenced")
-	case w != nil && w.Term == p.term && w.Sequence != p.last+1:
+	case w != nil && w.Term == p.term && w.Sequence != p.lastSequence+1:
 		return fault.New(fault.Conflict, "sequence")
 	}
 	if w != nil {
-		p.term, p.last = w.Term, w.Sequence
+		p.term, p.lastSequence = w.Term, w.Sequence
 	}
 	p.records = append(p.records, records...)
 	return nil
 }
 
-func (s *slowStore) setUnread(name string) {
+func (s *slowStore) setUnreadable(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unread = name
+	s.unreadable = name
 }
 
 // newest returns the newest value of a key.
@@ -166,7 +166,7 @@
 	return value
 }
 
-// noWorkers is for sites without any.
+// noWorkers is the Executor of a site without workers.
 type noWorkers struct{ provider.Executor }
 
 func start(ctx context.Context, store provider.Keyed, n int) []*dispatcher.Dispatcher {
@@ -184,7 +184,8 @@
 	return &job.Job{ID: fmt.Sprintf("%016x", n), Queue: "q", Steps: []job.Step{{Count: 1}}}
 }
 
-// Guards against callers told that their job may run as writes queue up at a slow store.
+// Guards against ambiguous answers (MayHaveRun) to callers when writes queue up at a
+// slow store.
 func TestSlowStoreTakesJobsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -218,7 +219,7 @@
 		time.Sleep(2 * time.Second)
 		is.NoErr(all[0].Submit(ctx, newJob(1)))
 		for _, d := range all {
-			state, err := d.State(ctx, newJob(1).ID) // at once, not after the next read
+			state, err := d.State(ctx, newJob(1).ID) // without waiting for the next periodic read
 			is.NoErr(err)
 			is.Equal(state, progress.Queued)
 		}
@@ -234,7 +235,7 @@
 	})
 }
 
-// Guards against a state that is shown long after it has changed.
+// Guards against stale job states.
 func TestStatesAreFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -260,7 +261,7 @@
 	})
 }
 
-// Guards against callers that wait for an answer which can only be no.
+// Guards against requests that wait for their deadline although the store rejects writes.
 func TestRejectionsAreQuick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -279,54 +280,55 @@
 		begun = time.Now()
 		err = all[0].Submit(ctx, newJob(2))
 		is.True(fault.Is(err, fault.Unavailable))
-		is.Equal(time.Since(begun), time.Duration(0)) // known a moment ago
+		is.Equal(time.Since(begun), time.Duration(0)) // rejected without a write
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// muteWorkers takes holds and starts until the one that was started on falls
-// silent.
-type muteWorkers struct {
+// unresponsiveWorkers accepts holds and starts. The worker that got the first start doesn't
+// answer holds any more.
+type unresponsiveWorkers struct {
 	provider.Executor
 	mu     sync.Mutex
 	starts []provider.StartOrder
 }
 
-func (m *muteWorkers) silent(host string) bool {
+func (m *unresponsiveWorkers) isUnresponsive(host string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.starts) > 0 && m.starts[0].Host.ID == host
 }
 
-func (m *muteWorkers) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
+func (m *unresponsiveWorkers) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
 	time.Sleep(5 * time.Millisecond)
-	if m.silent(o.Host.ID) {
+	if m.isUnresponsive(o.Host.ID) {
 		return provider.Held{}, fault.New(fault.MayHaveRun, "no answer")
 	}
 	return provider.Held{Clock: 1}, nil
 }
 
-func (m *muteWorkers) Start(_ context.Context, o provider.StartOrder) (provider.Refusal, error) {
+func (m *unresponsiveWorkers) Start(_ context.Context, o provider.StartOrder) (provider.Refusal, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.starts = append(m.starts, o)
 	return provider.Accepted, nil
 }
 
-func (m *muteWorkers) started() int {
+func (m *unresponsiveWorkers) started() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.starts)
 }
 
-func (m *muteWorkers) Stop(context.Context, provider.RunOrder) error { return nil }
+func (m *unresponsiveWorkers) Stop(context.Context, provider.RunOrder) error { return nil }
 
-// Guards against first tasks that wait for the list of workers after a claim.
+// Guards against a new owner whose first tasks wait for the next periodic read of the
+// list of workers.
 func TestClaimReadsTheList(t *testing.T) {
 	tests := []struct {
 		name  string
-		takes time.Duration // to read the list; it comes by itself after 2 s
+		takes time.Duration // to read the list; the periodic read follows after 2 s
 		fresh bool          // whether the job starts at once
 	}{
 		{"read in time", 10 * time.Millisecond, true},
@@ -337,15 +339,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
-				workers, clock := &muteWorkers{}, newClock()
+				workers, clock := &unresponsiveWorkers{}, newClock()
 				var d *dispatcher.Dispatcher
-				hand := func() {
+				sendList := func() {
 					d.SetHosts(provider.HostList{Hosts: []provider.Host{{ID: "w1", Service: "pool"}}, AsOf: clock()})
 				}
 				read := func(ctx context.Context) error {
 					select {
 					case <-time.After(tt.takes):
-						hand()
+						sendList()
 						return nil
 					case <-ctx.Done():
 						return ctx.Err()
@@ -362,17 +364,17 @@
 				time.Sleep(100 * time.Millisecond)
 				is.Equal(workers.started() == 1, tt.fresh)
 				time.Sleep(2 * time.Second)
-				hand()
+				sendList()
 				time.Sleep(100 * time.Millisecond)
 				is.Equal(workers.started(), 1)
 				cancel()
-				time.Sleep(3 * time.Second) // for the holds that are under way
+				time.Sleep(3 * time.Second) // for the holds in flight
 			})
 		})
 	}
 }
 
-// onePool returns a configuration of one queue that one pool of workers serves.
+// onePool returns a configuration with one queue and one pool of workers.
 func onePool() *queue.Table {
 	q := queue.Queue{Name: "q", Terms: job.Terms{Service: "pool", Attempts: 2}}
 	return queue.New(1, queue.Limits{}, []queue.Queue{q}, []queue.Service{{Name: "pool"}})
@@ -384,35 +386,37 @@
 	return func() time.Duration { return time.Since(begun) }
 }
 
-// list hands the list of workers over now and then, as a reader of it does.
-func list(ctx context.Context, d *dispatcher.Dispatcher, clock func() time.Duration, hosts ...provider.Host) {
+// sendListPeriodically passes the sendListPeriodically of workers to d every 300 ms, as the periodic reader does.
+func sendListPeriodically(ctx context.Context, d *dispatcher.Dispatcher, clock func() time.Duration, hosts ...provider.Host) {
 	for ctx.Err() == nil {
 		d.SetHosts(provider.HostList{Hosts: hosts, AsOf: clock()})
 		time.Sleep(300 * time.Millisecond)
 	}
 }
 
-// Guards against a list of machines that can't be had, taken for one without machines.
+// Guards against a failed read of the list of machines that counts as an empty list:
+// a task whose worker doesn't answer would be started again before its lease ends.
 func TestSilentWorkerWithoutMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		workers := &muteWorkers{}
+		workers := &unresponsiveWorkers{}
 		clock := newClock()
 		d := dispatcher.New(dispatcher.Platform{Store: newSlowStore(2 * time.Millisecond), Executor: workers}, dispatcher.WithClock(clock))
 		d.Configure(onePool())
-		go list(ctx, d, clock, provider.Host{ID: "w1", Service: "pool", Machine: "m1"}, provider.Host{ID: "w2", Service: "pool", Machine: "m2"})
+		go sendListPeriodically(ctx, d, clock, provider.Host{ID: "w1", Service: "pool", Machine: "m1"}, provider.Host{ID: "w2", Service: "pool", Machine: "m2"})
 		go func() { _ = d.Run(ctx) }()
 		time.Sleep(2 * time.Second)
 		is.NoErr(d.Submit(ctx, newJob(1)))
 		time.Sleep(4 * time.Second)
 		is.Equal(workers.started(), 1) // its lease hasn't ended
 		cancel()
-		time.Sleep(time.Second) // for the holds that are under way
+		time.Sleep(time.Second) // for the holds in flight
 	})
 }
 
-// Guards against tasks on leaving workers by a list from an earlier ownership.
+// Guards against tasks started on draining workers because of a stale list of workers
+// from before the takeover.
 func TestTakeoverAwaitsTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -420,38 +424,38 @@
 		begun := time.Now()
 		clock := func() time.Duration { return 30*time.Second + time.Since(begun) }
 		owning := make(chan bool, 1)
-		workers := &muteWorkers{}
+		workers := &unresponsiveWorkers{}
 		d := dispatcher.New(dispatcher.Platform{Store: newSlowStore(2 * time.Millisecond), Executor: workers},
 			dispatcher.WithClock(clock), dispatcher.WithOwning(func(now bool) { owning <- now }))
 		d.Configure(onePool())
-		leaves, stays := provider.Host{ID: "w1", Service: "pool"}, provider.Host{ID: "w2", Service: "pool"}
-		d.SetHosts(provider.HostList{Hosts: []provider.Host{leaves}, AsOf: 10 * time.Second})
+		draining, healthy := provider.Host{ID: "w1", Service: "pool"}, provider.Host{ID: "w2", Service: "pool"}
+		d.SetHosts(provider.HostList{Hosts: []provider.Host{draining}, AsOf: 10 * time.Second})
 		go func() { _ = d.Run(ctx) }()
 		is.NoErr(d.Submit(ctx, newJob(1)))
 		is.True(<-owning)
 		time.Sleep(400 * time.Millisecond)
-		is.Equal(workers.started(), 0) // it doesn't know yet who leaves
-		leaves.Draining = true
-		d.SetHosts(provider.HostList{Hosts: []provider.Host{leaves, stays}, AsOf: clock()})
+		is.Equal(workers.started(), 0) // the list is too old to tell which workers drain
+		draining.Draining = true
+		d.SetHosts(provider.HostList{Hosts: []provider.Host{draining, healthy}, AsOf: clock()})
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(workers.started(), 1)
-		is.Equal(workers.starts[0].Host.ID, stays.ID)
+		is.Equal(workers.starts[0].Host.ID, healthy.ID)
 		cancel()
-		time.Sleep(3 * time.Second) // for the holds that are under way
+		time.Sleep(3 * time.Second) // for the holds in flight
 	})
 }
 
-// Guards against a new owner that hasn't heard of cordons from before its term.
+// Guards against a new owner that ignores cordons set before its term.
 func TestTakeoverKeepsCordons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		workers := &muteWorkers{}
+		workers := &unresponsiveWorkers{}
 		clock := newClock()
 		d := dispatcher.New(dispatcher.Platform{Store: newSlowStore(2 * time.Millisecond), Executor: workers}, dispatcher.WithClock(clock))
 		d.Configure(onePool())
 		d.SetCordons([]string{"z1"})
-		go list(ctx, d, clock, provider.Host{ID: "w1", Service: "pool", AvailabilityZone: "z1"})
+		go sendListPeriodically(ctx, d, clock, provider.Host{ID: "w1", Service: "pool", AvailabilityZone: "z1"})
 		go func() { _ = d.Run(ctx) }()
 		is.NoErr(d.Submit(ctx, newJob(1)))
 		time.Sleep(3 * time.Second)
@@ -460,31 +464,32 @@
 		time.Sleep(400 * time.Millisecond)
 		is.Equal(workers.started(), 1)
 		cancel()
-		time.Sleep(3 * time.Second) // for the holds that are under way
+		time.Sleep(3 * time.Second) // for the holds in flight
 	})
 }
 
-// fallenOwner puts an owner on record that writes nothing further, and returns the
+// recordSilentOwner writes the record of an owner that sends no heartbeats, and returns the
 // record.
-func fallenOwner(ctx context.Context, is *is.I, store *slowStore) provider.KeyedRecord {
+func recordSilentOwner(ctx context.Context, is *is.I, store *slowStore) provider.KeyedRecord {
 	is.Helper()
-	fallen, err := catalog.OwnerRecord(catalog.Owner{Term: 1, Instance: "fallen", Nonce: 7})
+	owner, err := catalog.OwnerRecord(catalog.Owner{Term: 1, Instance: "fallen", Nonce: 7})
 	is.NoErr(err)
-	is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{fallen}))
-	return fallen
+	is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner}))
+	return owner
 }
 
-// Guards against an owner that doesn't know all jobs and drops their progress.
+// Guards against a new owner that couldn't read all accepted jobs and deletes their
+// progress as orphaned.
 func TestClaimReadBackNeedsAllJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		store := newSlowStore(2 * time.Millisecond)
-		fallenOwner(ctx, is, store)
+		recordSilentOwner(ctx, is, store)
 		accepted, err := catalog.AcceptRecord(newJob(1))
 		is.NoErr(err)
-		store.claimed = func() { // it has read neither the job, nor can it now
-			store.setUnread(catalog.Accepts)
+		store.beforeClaim = func() { // the claimant hasn't read the job, and can't read it any more
+			store.setUnreadable(catalog.Accepts)
 			is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{accepted}))
 		}
 		d := start(ctx, store, 1)[0]
@@ -493,11 +498,11 @@
 		is.NoErr(err)
 		is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 2}, []provider.KeyedRecord{begun}))
 		time.Sleep(4 * time.Second)
-		d.Configure(queue.New(2, queue.Limits{}, nil, nil)) // has it look at what it knows
+		d.Configure(queue.New(2, queue.Limits{}, nil, nil)) // notifies the control goroutine
 		time.Sleep(time.Second)
-		is.True(store.claimed == nil)
-		is.True(!d.Owning()) // it can't know what its jobs are
-		store.setUnread("")
+		is.True(store.beforeClaim == nil)
+		is.True(!d.Owning()) // the accepted jobs aren't readable
+		store.setUnreadable("")
 		time.Sleep(2 * time.Second)
 		is.True(d.Owning())
 		is.Equal(store.newest(catalog.Progress, begun.Key), begun.Value)
@@ -506,19 +511,19 @@
 	})
 }
 
-// Guards against a claim by an instance that can't read what was accepted.
+// Guards against a claim by an instance that can't read the accepted jobs.
 func TestNoClaimWithoutReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		store := newSlowStore(2 * time.Millisecond)
-		fallen := fallenOwner(ctx, is, store)
+		owner := recordSilentOwner(ctx, is, store)
 		d := start(ctx, store, 1)[0]
 		time.Sleep(100 * time.Millisecond)
-		store.setUnread(catalog.Accepts)
+		store.setUnreadable(catalog.Accepts)
 		time.Sleep(5 * time.Second)
-		is.Equal(store.newest(catalog.Progress, "owner"), fallen.Value)
-		store.setUnread("")
+		is.Equal(store.newest(catalog.Progress, "owner"), owner.Value)
+		store.setUnreadable("")
 		time.Sleep(time.Second)
 		is.True(d.Owning())
 		cancel()
@@ -526,20 +531,20 @@
 	})
 }
 
-func (s *slowStore) setMute(mute bool) {
+func (s *slowStore) setUnanswered(mute bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = mute
+	s.unanswered = mute
 }
 
-// submit hands a job in that is to be answered within a time.
+// submit submits job n with a deadline.
 func submit(ctx context.Context, d *dispatcher.Dispatcher, n int, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	return d.Submit(ctx, newJob(n))
 }
 
-// Guards against jobs accepted for an owner that can't order them in time.
+// Guards against jobs accepted although the overloaded owner can't start them in time.
 func TestOwnerThatDoesNotKeepUp(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -567,7 +572,7 @@
 				is.NoErr(err)
 				d := start(ctx, store, 1)[0]
 				time.Sleep(700 * time.Millisecond)                                            // two reads
-				is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{known})) // by another instance, a moment ago
+				is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{known})) // by another instance just now
 				begun := time.Now()
 				err = d.Submit(ctx, newJob(1))
 				is.Equal(err == nil, test.accepted)
@@ -598,7 +603,7 @@
 	}
 }
 
-// Guards against callers held for a store that is known to be silent.
+// Guards against requests that wait for a store which is known not to answer.
 func TestSilentStoreIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -606,13 +611,13 @@
 		store := newSlowStore(2 * time.Millisecond)
 		d := start(ctx, store, 1)[0]
 		time.Sleep(2 * time.Second)
-		store.setMute(true)
+		store.setUnanswered(true)
 		first := make(chan error, 3)
 		for n := range cap(first) {
 			go func() { first <- submit(ctx, d, n, 3*time.Second) }()
 			time.Sleep(300 * time.Millisecond)
 		}
-		waited := submit(ctx, d, 3, 90*time.Millisecond) // behind the writes that are under way
+		waited := submit(ctx, d, 3, 90*time.Millisecond) // behind the writes in flight
 		is.True(fault.Is(waited, fault.Unavailable))
 		time.Sleep(700 * time.Millisecond)
 		begun := time.Now()
@@ -622,7 +627,7 @@
 		for range cap(first) {
 			is.True(fault.Is(<-first, fault.MayHaveRun)) // these were sent
 		}
-		store.setMute(false)
+		store.setUnanswered(false)
 		time.Sleep(3 * time.Second)
 		is.NoErr(submit(ctx, d, 5, 3*time.Second))
 		cancel()
@@ -630,7 +635,7 @@
 	})
 }
 
-// Guards against two owners of one cell, or none.
+// Guards against a cell with two owners or none.
 func TestOneOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -17,51 +17,51 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Bounds of accepting. A window of a few milliseconds puts what arrives
-// together into one write, of which the store takes a few hundred a second.
-// While a write is under way, what arrives waits for the next one: a store that
-// is fifty times slower than usual takes 9 writes a second from all instances
-// together, and a write beside it only for an answer that may be lost.
+// Bounds of the intake. A window of a few milliseconds batches records into one write,
+// as the store takes only a few hundred writes a second. Records that arrive during
+// a write wait for the next one: a store that is fifty times slower than usual takes 9
+// writes a second from all instances together. A concurrent write begins only when the
+// answer of the current one may be lost.
 const (
-	intakeWindow   = 3 * time.Millisecond
-	intakeBatch    = 64
-	intakeFlights  = 3                      // writes under way at the most
-	intakePatience = 400 * time.Millisecond // with a write under way before another one begins beside it
-	intakeTimeout  = 1800 * time.Millisecond
-	intakeRetry    = 50 * time.Millisecond
-	intakeRejects  = 2                      // rejections by the store after which a caller is better off elsewhere
-	intakePause    = 300 * time.Millisecond // for which the store is taken to reject after that
-	intakeReserve  = 250 * time.Millisecond // most of a request's time that is left to answer it
+	intakeWindow         = 3 * time.Millisecond
+	maxIntakeBatch       = 64
+	maxIntakeWrites      = 3                      // maximum number of concurrent writes
+	concurrentWriteDelay = 400 * time.Millisecond // age of a write at which a concurrent one may begin
+	intakeTimeout        = 1800 * time.Millisecond
+	intakeRetryInterval  = 50 * time.Millisecond
+	maxIntakeRejections  = 2                      // rejections after which the request fails, so that its caller can try another instance
+	rejectionPause       = 300 * time.Millisecond // after such a failure new requests are rejected for this time
+	maxAnswerReserve     = 250 * time.Millisecond // maximum part of a request's time that is reserved for its answer
 )
 
-// intake writes what callers hand in.
+// intake writes the records of submitted and cancelled jobs to the store, in batches.
 type intake struct {
-	d        *Dispatcher
-	pending  chan entry
-	landed   chan struct{} // a value for each write that has ended
-	under    int           // writes under way; of run alone
-	begun    time.Time
-	rejected atomic.Int64 // when the store last rejected a record for good, nanoseconds since begun
-	silence  silence
+	d              *Dispatcher
+	pending        chan pendingWrite
+	writeDone      chan struct{} // gets a value for each finished write
+	writesInFlight int           // number of writes in flight; used by run only
+	startedAt      time.Time
+	lastRejectedAt atomic.Int64 // time of the last request that failed by rejections, nanoseconds since startedAt
+	outage         outageDetector
 }
 
-// entry is a record on its way to the store.
-type entry struct {
+// pendingWrite is a record that waits to be written.
+type pendingWrite struct {
 	record provider.KeyedRecord
 	state  *atomic.Int32
 	done   chan error
 }
 
-// States of an entry. One that its caller withdrew before it was sent has
-// provably not run.
+// States of an entry. An entry that was withdrawn before it was sent is certain not to
+// be on record.
 const (
-	entryWaits int32 = iota
-	entrySent
-	entryWithdrawn
+	writeWaiting int32 = iota
+	writeSent
+	writeWithdrawn
 )
 
 func newIntake(d *Dispatcher) *intake {
-	return &intake{d: d, pending: make(chan entry, 1024), landed: make(chan struct{}, intakeFlights), begun: time.Now()}
+	return &intake{d: d, pending: make(chan pendingWrite, 1024), writeDone: make(chan struct{}, maxIntakeWrites), startedAt: time.Now()}
 }
 
 func (i *intake) run(ctx context.Context) error {
@@ -70,36 +70,36 @@
 		case <-ctx.Done():
 			return nil
 		case first := <-i.pending:
-			if !i.board(ctx) {
+			if !i.awaitWriteSlot(ctx) {
 				return nil
 			}
 			batch := i.collect(ctx, first)
 			i.d.tomb.Go(func() error {
-				i.write(ctx, batch)
-				i.landed <- struct{}{}
+				i.writeBatch(ctx, batch)
+				i.writeDone <- struct{}{}
 				return nil
 			})
 		}
 	}
 }
 
-// board waits until a write may begin: none is under way, or the last one has
-// been for a while.
-func (i *intake) board(ctx context.Context) bool {
+// awaitWriteSlot waits until a write may begin: no write is in flight, or none has finished
+// within concurrentWriteDelay and fewer than maxIntakeWrites are in flight.
+func (i *intake) awaitWriteSlot(ctx context.Context) bool {
 	for {
-		patience := time.After(intakePatience)
-		if i.under == 0 {
-			i.under++
+		delay := time.After(concurrentWriteDelay)
+		if i.writesInFlight == 0 {
+			i.writesInFlight++
 			return true
 		}
-		if i.under >= intakeFlights {
-			patience = nil
+		if i.writesInFlight >= maxIntakeWrites {
+			delay = nil
 		}
 		select {
-		case <-i.landed:
-			i.under--
-		case <-patience:
-			i.under++
+		case <-i.writeDone:
+			i.writesInFlight--
+		case <-delay:
+			i.writesInFlight++
 			return true
 		case <-ctx.Done():
 			return false
@@ -107,11 +107,11 @@
 	}
 }
 
-func (i *intake) collect(ctx context.Context, first entry) []entry {
-	batch := []entry{first}
+func (i *intake) collect(ctx context.Context, first pendingWrite) []pendingWrite {
+	batch := []pendingWrite{first}
 	window := time.NewTimer(intakeWindow)
 	defer window.Stop()
-	for len(batch) < intakeBatch {
+	for len(batch) < maxIntakeBatch {
 		select {
 		case e := <-i.pending:
 			batch = append(batch, e)
@@ -124,11 +124,11 @@
 	return batch
 }
 
-func (i *intake) write(ctx context.Context, batch []entry) {
+func (i *intake) writeBatch(ctx context.Context, batch []pendingWrite) {
 	var records []provider.KeyedRecord
-	var sent []entry
+	var sent []pendingWrite
 	for _, e := range batch {
-		if e.state.CompareAndSwap(entryWaits, entrySent) {
+		if e.state.CompareAndSwap(writeWaiting, writeSent) {
 			sent = append(sent, e)
 			records = append(records, e.record)
 		}
@@ -138,32 +138,32 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, intakeTimeout)
 	defer cancel()
-	number := i.silence.begin()
+	number := i.outage.beginWrite()
 	err := i.d.platform.Store.Put(ctx, catalog.Accepts, nil, records)
-	i.silence.end(number, !fault.Is(err, fault.MayHaveRun))
+	i.outage.endWrite(number, !fault.Is(err, fault.MayHaveRun))
 	for _, e := range sent {
 		e.done <- err
 	}
 }
 
-// put writes one record and repeats it until it is on record, ctx has nearly
-// run out, or the store rejects it. Writing a record twice does no harm. A
-// record that the store only ever rejected isn't held back until the caller's
-// time is up: the next instance that the caller asks may reach the store.
-func (i *intake) put(ctx context.Context, record provider.KeyedRecord) error {
-	ctx, cancel := reserve(ctx)
+// write writes one record. It retries until the record is stored, the deadline of ctx
+// is near, or the store has rejected it maxIntakeRejections times. Writes are idempotent.
+// A record that the store only ever rejected fails before the caller's deadline, as
+// another instance may reach the store.
+func (i *intake) write(ctx context.Context, record provider.KeyedRecord) error {
+	ctx, cancel := withAnswerReserve(ctx)
 	defer cancel()
-	if i.rejecting() {
-		return fault.New(fault.Unavailable, "the store rejects writes").After(rejectedRetry)
+	if i.storeRejects() {
+		return fault.New(fault.Unavailable, "the store rejects writes").After(rejectedRetryAfter)
 	}
-	if lasted := i.silence.lasts(); lasted > 0 {
-		return fault.New(fault.Unavailable, "the store has given no answer for %v", lasted.Round(time.Millisecond)).After(retryAfter(lasted))
+	if d := i.outage.duration(); d > 0 {
+		return fault.New(fault.Unavailable, "the store has given no answer for %v", d.Round(time.Millisecond)).After(retryAfter(d))
 	}
 	ambiguous := false
 	rejections := 0
 	var last error
 	for ctx.Err() == nil {
-		last = i.try(ctx, record)
+		last = i.tryWrite(ctx, record)
 		if last == nil {
 			return nil
 		}
@@ -172,31 +172,31 @@
 		} else {
 			rejections++
 		}
-		if rejections >= intakeRejects && !ambiguous {
-			i.rejected.Store(int64(time.Since(i.begun)))
+		if rejections >= maxIntakeRejections && !ambiguous {
+			i.lastRejectedAt.Store(int64(time.Since(i.startedAt)))
 			break
 		}
-		wait(ctx, intakeRetry)
+		wait(ctx, intakeRetryInterval)
 	}
 	if ambiguous {
 		return fault.Wrap(fault.MayHaveRun, last, "not known to be on record")
 	}
-	return fault.Wrap(fault.Unavailable, last, "not on record").After(rejectedRetry)
+	return fault.Wrap(fault.Unavailable, last, "not on record").After(rejectedRetryAfter)
 }
 
-// rejectedRetry is when a caller should come back whose job the store
-// rejected. Most outages are over, or have moved callers elsewhere, by then.
-const rejectedRetry = time.Second
+// rejectedRetryAfter is the Retry-After for a request whose record the store rejected. Most
+// outages are over by then, or callers have moved to other instances.
+const rejectedRetryAfter = time.Second
 
-// rejecting reports whether the store rejected writes a moment ago.
-func (i *intake) rejecting() bool {
-	at := i.rejected.Load()
-	return at > 0 && time.Since(i.begun)-time.Duration(at) < intakePause
+// storeRejects reports whether the store rejected writes within the last rejectionPause.
+func (i *intake) storeRejects() bool {
+	at := i.lastRejectedAt.Load()
+	return at > 0 && time.Since(i.startedAt)-time.Duration(at) < rejectionPause
 }
 
-// try has a record written once.
-func (i *intake) try(ctx context.Context, record provider.KeyedRecord) error {
-	e := entry{record: record, state: new(atomic.Int32), done: make(chan error, 1)}
+// tryWrite enqueues a record for one write and waits for its result.
+func (i *intake) tryWrite(ctx context.Context, record provider.KeyedRecord) error {
+	e := pendingWrite{record: record, state: new(atomic.Int32), done: make(chan error, 1)}
 	select {
 	case i.pending <- e:
 	default:
@@ -206,21 +206,22 @@
 	case err := <-e.done:
 		return err
 	case <-ctx.Done():
-		if e.state.CompareAndSwap(entryWaits, entryWithdrawn) {
+		if e.state.CompareAndSwap(writeWaiting, writeWithdrawn) {
 			return fault.Wrap(fault.Unavailable, ctx.Err(), "waited for other writes")
 		}
 		return fault.Wrap(fault.MayHaveRun, ctx.Err(), "write without an answer")
 	}
 }
 
-// reserve returns a context that ends some time before its parent's deadline.
-func reserve(ctx context.Context) (context.Context, context.CancelFunc) {
+// withAnswerReserve returns a context that ends before its parent's deadline: a quarter of the
+// remaining time before it, at most maxAnswerReserve.
+func withAnswerReserve(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	left := min(intakeReserve, time.Until(deadline)/4)
-	return context.WithDeadline(ctx, deadline.Add(-left))
+	answerTime := min(maxAnswerReserve, time.Until(deadline)/4)
+	return context.WithDeadline(ctx, deadline.Add(-answerTime))
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -230,10 +231,9 @@
 	}
 }
 
-// Submit puts a job on record. A job that is on record already, by whichever
-// instance, is accepted again. An error of kind fault.Unavailable or
-// fault.Overloaded says that the job will never run, one of kind
-// fault.MayHaveRun that it may.
+// Submit writes a job to the store. It is idempotent, also across instances. After an
+// error of kind fault.Unavailable or fault.Overloaded the job will never run; after one
+// of kind fault.MayHaveRun it may.
 func (d *Dispatcher) Submit(ctx context.Context, j *job.Job) error {
 	if _, known := d.catalog.State(j.ID); known {
 		return nil
@@ -245,24 +245,24 @@
 	begun := time.Now()
 	err = d.admit(ctx, j)
 	if err == nil {
-		err = d.intake.put(ctx, record)
+		err = d.intake.write(ctx, record)
 	}
-	d.counters.accepted(time.Since(begun), err)
+	d.counters.recordAccept(time.Since(begun), err)
 	d.logger.Info("accept", zap.String("job", j.ID), zap.String("queue", j.Queue), zap.Duration("took", time.Since(begun)), zap.Error(err))
 	if err != nil {
 		return err
 	}
-	return d.remember(record)
+	return d.applyRecord(record)
 }
 
-// admit rejects a job that the cell's owner won't order in time, since it doesn't
-// keep up with what it is asked for, and a lasting one that would take the room that
-// urgent ones wait for. A repeat of a job that is on record is no new one: its caller
-// may have lost the first answer. One with a schedule isn't for now.
+// admit sheds load. It rejects a job that an overloaded owner couldn't start in time,
+// and a lasting job that would take capacity for which urgent ones wait. A job
+// that is on record already is never rejected, since its caller may have lost the first
+// answer; nor is a scheduled job, as it doesn't start now.
 func (d *Dispatcher) admit(ctx context.Context, j *job.Job) error {
 	b := d.backlog()
 	lag := b.Lag(j.Terms.Priority)
-	reason := rejection(b, lag, j)
+	reason := rejectionReason(b, lag, j)
 	if reason == "" {
 		return nil
 	}
@@ -276,8 +276,8 @@
 	return fault.New(fault.Overloaded, "%s", reason).After(overload.RetryAfter(lag, rand.Float64()))
 }
 
-// rejection says why a job isn't accepted, nothing if it is.
-func rejection(b *overload.Backlog, lag time.Duration, j *job.Job) string {
+// rejectionReason returns the reason for which a job is rejected, empty if it is admitted.
+func rejectionReason(b *overload.Backlog, lag time.Duration, j *job.Job) string {
 	switch {
 	case j.Scheduled():
 		return ""
@@ -289,32 +289,32 @@
 	return ""
 }
 
-// backlog returns what the owner has to order and which pools are full, nil if it
-// keeps up, has room or isn't heard.
+// backlog returns the owner's backlog of starts and its full pools. It is nil if the
+// owner keeps up and has free capacity, or if the last read of its records is too old.
 func (d *Dispatcher) backlog() *overload.Backlog {
-	if d.progress.Age() > backlogAge {
+	if d.progress.Age() > maxBacklogAge {
 		return nil
 	}
 	return d.catalog.Backlog()
 }
 
-// backlogAge is how old what is known of the owner may be for its backlog to be held
-// against a job. It is above the time between two reads.
-const backlogAge = time.Second
+// maxBacklogAge is the maximum age of the last read for which the owner's backlog still
+// leads to rejections. It is above the interval between two reads.
+const maxBacklogAge = time.Second
 
-// remember folds a record that was just written, so that this instance knows
-// it before its next read.
-func (d *Dispatcher) remember(r provider.KeyedRecord) error {
-	defer d.wake()
+// applyRecord applies a record that was just written to the catalog, so that this instance
+// knows it before its next read.
+func (d *Dispatcher) applyRecord(r provider.KeyedRecord) error {
+	defer d.notifyUpdate()
 	return d.catalog.Accept(r)
 }
 
-// State returns the state of a job. A job that isn't known is looked for in
-// the store first. It returns fault.NotFound for one that was never accepted,
-// and fault.Unavailable where that can't be told.
+// State returns the state of a job. For an unknown job it reads the store first. It
+// returns fault.NotFound for a job that was never accepted, and fault.Unavailable if
+// that read fails.
 func (d *Dispatcher) State(ctx context.Context, id string) (progress.State, error) {
 	if s, known := d.catalog.State(id); known {
-		if s.Final() || !d.freshen(ctx) {
+		if s.Final() || !d.refreshProgress(ctx) {
 			return s, nil
 		}
 		s, _ = d.catalog.State(id)
@@ -330,15 +330,15 @@
 	return s, nil
 }
 
-// freshen reads what was written of jobs since the last read, and reports
-// whether it did. A caller that asks just after its job's last task has ended
-// would otherwise be told that the job runs, and ask again much later.
-func (d *Dispatcher) freshen(ctx context.Context) bool {
+// refreshProgress reads the newest progress records and reports whether it did. Without it a
+// caller that asks just after its job's last task ended would see the job as
+// running, and poll again much later.
+func (d *Dispatcher) refreshProgress(ctx context.Context) bool {
 	age := d.progress.Age()
-	if age < stateAge || age > progressSpacing+progressWait {
-		return false // fresh enough, or the store is away and the reader is at it
+	if age < maxStateAge || age > progressSpacing+progressWait {
+		return false // fresh enough, or the store is unreachable and the reader retries already
 	}
-	ctx, cancel := context.WithTimeout(ctx, freshenTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := d.progress.Refresh(ctx); err != nil {
 		d.logger.Debug("state not read anew", zap.Duration("age", age), zap.Error(err))
@@ -347,22 +347,22 @@
 	return true
 }
 
-// Cancel puts the cancellation of a job on record, unless it has ended.
+// Cancel writes the cancellation of a job to the store, unless the job has ended.
 func (d *Dispatcher) Cancel(ctx context.Context, id string) error {
 	s, err := d.State(ctx, id)
 	if err != nil || s.Final() {
 		return err
 	}
 	record := catalog.CancelRecord(id)
-	err = d.intake.put(ctx, record)
+	err = d.intake.write(ctx, record)
 	d.logger.Info("cancel", zap.String("job", id), zap.String("state", s.String()), zap.Error(err))
 	if err != nil {
 		return err
 	}
-	return d.remember(record)
+	return d.applyRecord(record)
 }
 
-// Pending returns the number of a queue's jobs that haven't begun.
+// Pending returns the number of a queue's jobs that haven't started.
 func (d *Dispatcher) Pending(queue string) int {
 	return d.catalog.Pending(queue)
 }
--- a/dispatcher/list.go
+++ b/dispatcher/list.go
@@ -10,53 +10,54 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// hostList is what the control goroutine knows of the list of workers, which an
+// hostList holds the control goroutine's state of the list of workers, which an
 // instance reads only while it owns the cell.
 type hostList struct {
-	newest  *provider.HostList // in whichever term it was read; nil before the first
-	owned   time.Duration      // when this instance became owner
-	awaited bool               // since then no list has come that tasks may be started by
+	newest        *provider.HostList // possibly read in an earlier term; nil before the first
+	ownerSince    time.Duration      // when this instance became owner
+	awaitingFresh bool               // since then no list has been fresh enough to start tasks
 }
 
-// WithListReader sets what reads the list of workers to its end, and hands it to
+// WithListReader sets a function that reads the whole list of workers and passes it to
 // SetHosts before it returns. It is called once the cell is claimed. Without it
-// the first tasks of a new owner wait until the list comes by itself.
+// the first tasks of a new owner wait for the next periodic read of the list.
 func WithListReader(f func(context.Context) error) Option {
 	return func(d *Dispatcher) { d.readList = f }
 }
 
-// SetHosts hands over the platform's list of workers, whole, after each good
-// read of it. Its AsOf is on the clock of WithClock.
+// SetHosts replaces the platform's list of workers. It is called after each successful
+// read of the whole list. AsOf is on the clock of WithClock.
 func (d *Dispatcher) SetHosts(list provider.HostList) {
-	d.counters.listed.Store(int64(list.AsOf))
-	replace(d.lists, list)
+	d.counters.listAsOf.Store(int64(list.AsOf))
+	replace(d.hostListUpdates, list)
 }
 
-// takeList takes a list as it was read.
-func (d *Dispatcher) takeList(list provider.HostList) {
-	d.list.newest = &list
+// handleHostList stores a list and passes it to the cell, if this instance owns one.
+func (d *Dispatcher) handleHostList(list provider.HostList) {
+	d.hostList.newest = &list
 	if d.cell == nil {
 		return
 	}
-	d.noteList(&list)
+	d.logFirstFreshList(&list)
 	d.step(cell.Hosts{List: list})
 }
 
-// giveList gives a new owner the newest list that there is.
-func (d *Dispatcher) giveList() {
-	d.list.owned = d.clock()
-	d.list.awaited = true
-	if d.list.newest != nil {
-		d.takeList(*d.list.newest)
+// applyNewestList passes the newest list to the cell of a new owner.
+func (d *Dispatcher) applyNewestList() {
+	d.hostList.ownerSince = d.clock()
+	d.hostList.awaitingFresh = true
+	if d.hostList.newest != nil {
+		d.handleHostList(*d.hostList.newest)
 	}
 }
 
-// noteList logs the first list of workers that a new owner may start tasks by.
-func (d *Dispatcher) noteList(list *provider.HostList) {
-	if !d.list.awaited || d.list.owned-list.AsOf >= d.timing.ListAge {
+// logFirstFreshList logs the first list of workers that is fresh enough for a new owner to start
+// tasks.
+func (d *Dispatcher) logFirstFreshList(list *provider.HostList) {
+	if !d.hostList.awaitingFresh || d.hostList.ownerSince-list.AsOf >= d.timing.ListAge {
 		return
 	}
-	d.list.awaited = false
+	d.hostList.awaitingFresh = false
 	draining := 0
 	for _, h := range list.Hosts {
 		if h.Draining {
@@ -64,20 +65,21 @@
 		}
 	}
 	d.logger.Info("list of workers", zap.Uint64("term", d.term), zap.Int("listed", len(list.Hosts)), zap.Int("draining", draining),
-		zap.Duration("after", d.clock()-d.list.owned), zap.Duration("list_age", d.clock()-list.AsOf))
+		zap.Duration("after", d.clock()-d.hostList.ownerSince), zap.Duration("list_age", d.clock()-list.AsOf))
 }
 
-// listHeadStart is how long a claim waits for the list of workers. A calm store
-// gives it within 10 ms.
-const listHeadStart = 250 * time.Millisecond
+// listPrefetchTimeout is how long a claim waits for the list of workers. It usually
+// takes less than 10 ms to read.
+const listPrefetchTimeout = 250 * time.Millisecond
 
-// beginList reads the list of workers while nothing else is to be done. A new
-// owner asks each of its workers what runs there, and a list that it reads beside
-// hundreds of such calls comes late; no task starts before it. A claim doesn't fail for want of it: what runs has to be
-// kept running. The channel is closed when the list was read or the time is over.
-func (d *Dispatcher) beginList(ctx context.Context) <-chan struct{} {
+// prefetchList reads the list of workers before the new owner calls its workers. The owner
+// asks each worker for its running tasks, and a read of the list beside hundreds of such
+// calls would be slow, while no task starts without the list. A claim succeeds without
+// it, since running tasks have to be kept running. The channel is closed when the list
+// was read or listPrefetchTimeout is over.
+func (d *Dispatcher) prefetchList(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
-	ctx, cancel := context.WithTimeout(ctx, listHeadStart)
+	ctx, cancel := context.WithTimeout(ctx, listPrefetchTimeout)
 	d.tomb.Go(func() error {
 		defer close(done)
 		defer cancel()
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -13,45 +13,45 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// carryOut does what an action asks for, without waiting for its outcome.
-func (d *Dispatcher) carryOut(a cell.Action) {
+// execute executes an action of the cell without waiting for its outcome.
+func (d *Dispatcher) execute(a cell.Action) {
 	switch a := a.(type) {
 	case cell.Hold:
-		d.order(a.Order.Wait, func(ctx context.Context) cell.Input { return d.hold(ctx, a) })
+		d.runOrder(a.Order.Wait, func(ctx context.Context) cell.Input { return d.hold(ctx, a) })
 	case cell.Start:
 		d.counters.starts.Add(1)
 		ordered := d.clock()
-		d.order(0, func(ctx context.Context) cell.Input { return d.start(ctx, a, ordered) })
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.start(ctx, a, ordered) })
 	case cell.Stop:
 		d.counters.stops.Add(1)
-		d.order(0, func(ctx context.Context) cell.Input { return d.stop(ctx, a) })
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.stop(ctx, a) })
 	case cell.Pace:
-		d.order(0, func(ctx context.Context) cell.Input { return d.pace(ctx, a) })
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.pace(ctx, a) })
 	case cell.Advise:
-		d.order(adviceTimeout, func(ctx context.Context) cell.Input { return d.advise(ctx, a) })
+		d.runOrder(adviceTimeout, func(ctx context.Context) cell.Input { return d.advise(ctx, a) })
 	case cell.Upkeep:
-		d.order(0, func(ctx context.Context) cell.Input { return d.upkeep(ctx, a) })
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.upkeep(ctx, a) })
 	case cell.ReportWave:
 		d.tomb.Go(func() error { d.reportWave(a); return nil })
 	case cell.Forget:
-		d.order(0, func(ctx context.Context) cell.Input { return d.forget(ctx, a) })
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.deleteJobs(ctx, a) })
 	case cell.ListMachines:
-		d.order(machinesTimeout, d.listMachines)
+		d.runOrder(machinesTimeout, d.listMachines)
 	case cell.Save:
 		d.tomb.Go(func() error { d.save(a); return nil })
 	case cell.Deposed:
-		d.drop(a.Reason)
+		d.relinquish(a.Reason)
 	case cell.Note:
-		d.note(a)
+		d.logEvent(a)
 	}
 }
 
-// order gives an order and hands its outcome to the control goroutine.
-func (d *Dispatcher) order(wait time.Duration, call func(context.Context) cell.Input) {
+// runOrder runs a call in the background and sends its outcome to the control goroutine.
+func (d *Dispatcher) runOrder(wait time.Duration, call func(context.Context) cell.Input) {
 	d.tomb.Go(func() error {
 		ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), wait+orderTimeout)
 		defer cancel()
-		d.put(call(ctx))
+		d.sendInput(call(ctx))
 		return nil
 	})
 }
@@ -59,14 +59,14 @@
 func (d *Dispatcher) hold(ctx context.Context, a cell.Hold) cell.Input {
 	sent := d.clock()
 	held, err := d.platform.Executor.Hold(ctx, a.Order)
-	d.counters.held(err)
+	d.counters.recordHold(err)
 	return cell.HoldReply{Host: a.Order.Host.ID, Token: a.Order.Token, Sent: sent, Held: held, Err: err}
 }
 
 func (d *Dispatcher) start(ctx context.Context, a cell.Start, ordered time.Duration) cell.Input {
 	sent := time.Now()
 	refusal, err := d.platform.Executor.Start(ctx, a.Order)
-	d.counters.startTime.Record(time.Since(sent))
+	d.counters.startLatency.Record(time.Since(sent))
 	return cell.StartReply{Host: a.Order.Host.ID, Token: a.Order.Token, Task: a.Order.Task, Attempt: a.Order.Attempt, Sent: ordered, Refusal: refusal, Err: err}
 }
 
@@ -87,19 +87,19 @@
 	}
 }
 
-// save writes the owner's records. What was written counts for this
-// instance's own answers without a read.
+// save writes the owner's records. Written records are applied to the catalog at once,
+// so that this instance's answers don't wait for the next read.
 func (d *Dispatcher) save(a cell.Save) {
 	ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), saveTimeout)
 	defer cancel()
 	sent := time.Now()
 	writer := &provider.Writer{Name: writerName, Term: a.Term, Sequence: a.Sequence}
 	err := d.platform.Store.Put(ctx, catalog.Progress, writer, a.Records)
-	d.counters.saved(time.Since(sent), err)
+	d.counters.recordSave(time.Since(sent), err)
 	if err == nil {
 		d.applySaved(a.Records)
 	}
-	d.put(cell.Saved{Sequence: a.Sequence, Err: err})
+	d.sendInput(cell.Saved{Sequence: a.Sequence, Err: err})
 }
 
 func (d *Dispatcher) applySaved(records []provider.KeyedRecord) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// listMachines asks the platform for its machines. A list that can't be had is
-// no list without machines: what runs on a silent worker would count as ended.
+// listMachines reads the platform's list of machines. A failure must not look like an
+// empty list: tasks on a worker that doesn't answer would count as ended.
 func (d *Dispatcher) listMachines(ctx context.Context) cell.Input {
 	if d.platform.Machines == nil {
 		return cell.MachineList{Err: fault.New(fault.Unavailable, "the site has no list of machines")}
@@ -121,7 +121,7 @@
 	return cell.MachineList{Machines: machines, Sent: sent, Err: err}
 }
 
-// advise asks the adviser.
+// advise requests the adviser's tickets for a step.
 func (d *Dispatcher) advise(ctx context.Context, a cell.Advise) cell.Input {
 	reply := cell.Advised{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Sent: d.clock()}
 	if d.platform.Adviser == nil {
@@ -132,7 +132,7 @@
 	return reply
 }
 
-// upkeep orders a machine's upkeep.
+// upkeep starts a machine's upkeep.
 func (d *Dispatcher) upkeep(ctx context.Context, a cell.Upkeep) cell.Input {
 	reply := cell.UpkeepReply{Machine: a.Order.Machine, Wave: a.Order.Wave}
 	if d.platform.Machines == nil {
@@ -143,8 +143,8 @@
 	return reply
 }
 
-// reportWave tells the operators how far a wave is, and repeats it until it is
-// known.
+// reportWave reports the progress of a wave to the operators, and retries until it is
+// acknowledged.
 func (d *Dispatcher) reportWave(a cell.ReportWave) {
 	ctx := d.tomb.Context(context.Background())
 	for ctx.Err() == nil && d.platform.Machines != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// forget drops jobs' own records.
-func (d *Dispatcher) forget(ctx context.Context, a cell.Forget) cell.Input {
+// deleteJobs deletes the accept and cancel records of jobs.
+func (d *Dispatcher) deleteJobs(ctx context.Context, a cell.Forget) cell.Input {
 	var records []provider.KeyedRecord
 	for _, id := range a.IDs {
 		records = append(records, catalog.DropRecords(id)...)
@@ -169,8 +169,8 @@
 	return cell.Forgotten{IDs: a.IDs, Err: err}
 }
 
-// note writes a decision of the cell to the log.
-func (d *Dispatcher) note(n cell.Note) {
+// logEvent writes a decision of the cell to the log.
+func (d *Dispatcher) logEvent(n cell.Note) {
 	fields := make([]zap.Field, 0, len(n.Fields)/2+1)
 	for i := 0; i+1 < len(n.Fields); i += 2 {
 		fields = append(fields, zap.Any(n.Fields[i].(string), n.Fields[i+1]))
