--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog folds two keyed streams into what is known of all jobs:
-// what was accepted and cancelled, written by any instance, and what became of
-// it, written by the owner of the cell.
+// Package catalog folds two keyed streams into the state of all jobs. Any instance
+// writes accepted and cancelled jobs to the one; the owner of the cell writes
+// their progress to the other.
 //
 // Usage:
 //
@@ -9,10 +9,10 @@
 //	c.Progress(record)  // of stream catalog.Progress
 //	state, known := c.State(id)
 //
-// The two kinds of record stand under different keys, so that the fold doesn't
-// depend on the order in which the streams are read, and an accept that is
-// written twice, or late, never replaces the progress of a job that has run
-// since. A Catalog may be used by several goroutines.
+// The two kinds of record have different keys. So the result doesn't depend on the
+// order in which the streams are read, and an accept that is written twice, or late,
+// never replaces the progress of a job that has run since. A Catalog is safe for
+// concurrent use.
 package catalog
 
 import (
@@ -33,8 +33,8 @@
 
 // Streams that are folded.
 const (
-	Accepts  = "jobs"     // jobs and cancellations, by any instance
-	Progress = "progress" // by the owner alone, fenced
+	Accepts  = "jobs"     // jobs and cancellations, written by any instance
+	Progress = "progress" // written by the owner alone, fenced
 )
 
 // Prefixes of keys.
@@ -50,34 +50,34 @@
 	crashedKey  = "crashed"
 )
 
-// Entry is what is known of one job. Its fields may be nil.
+// Entry is the state of one job. Job or Progress is nil until its record was read.
 type Entry struct {
 	Job       *job.Job
 	Cancelled bool
 	Progress  *progress.Progress
 }
 
-// TermSpacing is the distance between the terms of owners. An owner may use the numbers
-// from its term up to the next one.
+// TermSpacing is the distance between the terms of successive owners. An owner uses the
+// numbers from its term up to the next one as fencing tokens.
 const TermSpacing = 1 << 12
 
-// NextTerm returns the term that follows.
+// NextTerm returns the term of the next owner.
 func NextTerm(term uint64) uint64 {
 	return (term/TermSpacing + 1) * TermSpacing
 }
 
-// Owner tells who owns the cell. An owner that leaves says so, so that others
-// needn't wait for its silence.
+// Owner is the record of the cell's owner. An owner that leaves sets Leaving, so that
+// others needn't wait until its heartbeats time out.
 type Owner struct {
 	Term     uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
 	Leaving  bool   `cbor:"3,keyasint,omitempty"`
 	Beat     uint64 `cbor:"4,keyasint,omitempty"` // counts the owner's heartbeats
-	Nonce    uint64 `cbor:"5,keyasint,omitempty"` // of the process; tells a restarted one from the one before
-	Sequence uint64 `cbor:"6,keyasint,omitempty"` // of the write that claimed the term
+	Nonce    uint64 `cbor:"5,keyasint,omitempty"` // identifies the process, as a restart keeps the Instance
+	Sequence uint64 `cbor:"6,keyasint,omitempty"` // sequence number of the write that claimed the term
 }
 
-// Catalog is the fold.
+// Catalog holds the state that results from the records read so far.
 type Catalog struct {
 	mu      sync.RWMutex
 	entries map[string]*Entry
@@ -85,9 +85,9 @@
 	owner   Owner
 	learned []byte
 	backlog backlog
-	crashed map[string]uint64 // incarnations of workers that had crashed when an owner asked them
+	crashed map[string]uint64 // terms by incarnations of workers; see CrashedRecord
 	waves   map[int]Wave
-	news    []string // jobs that were accepted or cancelled since the last Take
+	changed []string // jobs that were accepted or cancelled since the last Take
 }
 
 // New returns an empty Catalog.
@@ -115,19 +115,19 @@
 	return provider.KeyedRecord{Key: progressKey + id, Value: data}, err
 }
 
-// DropProgress returns the record that drops a job's progress. The job's own
-// record must be gone before.
+// DropProgress returns the record that deletes a job's progress. The job's own
+// record must be deleted first.
 func DropProgress(id string) provider.KeyedRecord {
 	return provider.KeyedRecord{Key: progressKey + id}
 }
 
-// DropRecords returns the records that drop a job and its cancellation.
+// DropRecords returns the records that delete a job and its cancellation.
 func DropRecords(id string) []provider.KeyedRecord {
 	return []provider.KeyedRecord{{Key: acceptKey + id}, {Key: cancelKey + id}}
 }
 
-// HostRecord returns the record of a worker that the owner may give work to.
-// Without a host, it drops the worker.
+// HostRecord returns the record of a worker on which the owner may start tasks.
+// With a nil host it returns the record that deletes the worker.
 func HostRecord(id string, h *provider.Host) (provider.KeyedRecord, error) {
 	if h == nil {
 		return provider.KeyedRecord{Key: hostKey + id}, nil
@@ -148,9 +148,9 @@
 	return provider.KeyedRecord{Key: ownerKey, Value: data}, nil
 }
 
-// Wave is how far a wave of upkeep is.
+// Wave is the progress of a wave of machine upkeep.
 type Wave struct {
-	Begun     []string `cbor:"1,keyasint,omitempty"` // machines whose upkeep has begun
+	Begun     []string `cbor:"1,keyasint,omitempty"` // machines whose upkeep has started
 	Completed bool     `cbor:"2,keyasint,omitempty"`
 }
 
@@ -176,21 +176,21 @@
 	return nil
 }
 
-// Waves returns how far the waves of upkeep are.
+// Waves returns the progress of the waves of upkeep by their numbers.
 func (c *Catalog) Waves() map[int]Wave {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return maps.Clone(c.waves)
 }
 
-// LearnedRecord returns the record of what an owner has learned, which its
-// successor goes on from.
+// LearnedRecord returns the record of an owner's learned estimates, which its
+// successor starts from.
 func LearnedRecord(data []byte) provider.KeyedRecord {
 	return provider.KeyedRecord{Key: learnedKey, Value: data}
 }
 
-// CrashedRecord returns the record of incarnations of workers that owners found to have
-// crashed before they knew what ran there, with the term of the owner that did.
+// CrashedRecord returns the record of the incarnations of workers that had crashed before
+// an owner learned which tasks ran there, each with the term of that owner.
 func CrashedRecord(crashed map[string]uint64) (provider.KeyedRecord, error) {
 	data, err := cbor.Marshal(crashed)
 	if err != nil {
@@ -208,22 +208,22 @@
 	return nil
 }
 
-// Crashed returns these incarnations by name.
+// Crashed returns the terms of CrashedRecord by incarnation.
 func (c *Catalog) Crashed() map[string]uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return maps.Clone(c.crashed)
 }
 
-// backlog is what an owner that doesn't keep up has to order, and which of its pools
-// are full; its Orders are nil while neither is so.
+// backlog is the record of an owner's backlog and full pools. Orders is nil while the
+// owner keeps up and no pool is full.
 type backlog struct {
 	Term   uint64            `cbor:"1,keyasint"`
 	Orders *overload.Backlog `cbor:"2,keyasint,omitempty"`
 }
 
-// BacklogRecord returns the record of what the owner of a term has to order and of
-// its pools that are full, nil if it keeps up and has room.
+// BacklogRecord returns the record of the backlog and the full pools of a term's owner.
+// The backlog is nil if the owner keeps up and no pool is full.
 func BacklogRecord(term uint64, b *overload.Backlog) (provider.KeyedRecord, error) {
 	data, err := cbor.Marshal(backlog{Term: term, Orders: b})
 	if err != nil {
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// Backlog returns what the owner of the cell has to order and which pools are full,
-// nil if it keeps up and has room, or has told nothing.
+// Backlog returns the backlog and the full pools of the current owner. It is nil if the
+// owner keeps up and no pool is full, or if it has written no backlog in its term.
 func (c *Catalog) Backlog() *overload.Backlog {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -252,7 +252,7 @@
 	return c.backlog.Orders
 }
 
-// Learned returns what the last owner has learned, nil if nothing.
+// Learned returns the learned estimates of the last owner, nil if there are none.
 func (c *Catalog) Learned() []byte {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -273,10 +273,10 @@
 	return fault.New(fault.Invalid, "unknown key %q", r.Key)
 }
 
-// checkJob holds a job's record against what this version writes. A record of
-// another version or hand that decodes all the same, with fewer than no tasks or
-// a step that depends on one that isn't there, would end every instance that
-// becomes owner, one after the other.
+// checkJob validates a job's record. A record of another version or writer may decode
+// and yet be invalid, for example with a negative number of tasks or a step that
+// depends on a missing one. It would crash each instance that becomes owner, one after
+// the other.
 func checkJob(id string, j *job.Job) error {
 	if j.ID != id {
 		return fault.New(fault.Invalid, "record of job %s tells of job %q", id, j.ID)
@@ -307,7 +307,7 @@
 	if e.Progress != nil {
 		e.Progress.Bind(j)
 	}
-	c.news = append(c.news, id)
+	c.changed = append(c.changed, id)
 	return nil
 }
 
@@ -318,7 +318,7 @@
 	e := c.entry(id)
 	if !e.Cancelled {
 		e.Cancelled = true
-		c.news = append(c.news, id)
+		c.changed = append(c.changed, id)
 	}
 }
 
@@ -377,7 +377,7 @@
 	}
 	e := c.entry(id)
 	if e.Progress != nil && e.Progress.State.Final() {
-		return nil // a state that is final stays, also if an older record is read again
+		return nil // a final state stays, also if an older record is read again
 	}
 	if e.Job != nil {
 		p.Bind(e.Job)
@@ -447,7 +447,7 @@
 	return c.owner
 }
 
-// Hosts returns the workers that an owner may have given work to.
+// Hosts returns the workers on which an owner may have started tasks.
 func (c *Catalog) Hosts() map[string]provider.Host {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -458,7 +458,7 @@
 	return hosts
 }
 
-// Entries returns every job that was accepted. The Progress is a copy that
+// Entries returns every accepted job. Each Progress is a copy that
 // the caller may change.
 func (c *Catalog) Entries() (map[string]Entry, error) {
 	c.mu.Lock()
@@ -476,7 +476,7 @@
 		copied.Progress = p
 		entries[id] = copied
 	}
-	c.news = nil
+	c.changed = nil
 	return entries, nil
 }
 
@@ -496,9 +496,9 @@
 	return p, nil
 }
 
-// Orphans returns the jobs whose progress is on record though they aren't: an
-// owner died between dropping the one and the other. To a reader of both
-// streams it can't mean anything else, as progress comes after its job.
+// Orphans returns the jobs that have progress on record but no accept record: an owner
+// crashed between the two deletions. For a reader of both streams there is no other
+// cause, since a job's progress is written after the job.
 func (c *Catalog) Orphans() []string {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -517,13 +517,13 @@
 func (c *Catalog) Take() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entries := make([]Entry, 0, len(c.news))
-	for _, id := range c.news {
+	entries := make([]Entry, 0, len(c.changed))
+	for _, id := range c.changed {
 		if e := c.entries[id]; e != nil && e.Job != nil {
 			entries = append(entries, Entry{Job: e.Job, Cancelled: e.Cancelled})
 		}
 	}
-	c.news = c.news[:0]
+	c.changed = c.changed[:0]
 	return entries
 }
 
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 	return &job.Job{ID: id, Queue: "q", Steps: []job.Step{{Count: 2}}}
 }
 
-func accept(t require, id string) provider.KeyedRecord {
+func acceptRecord(t fataler, id string) provider.KeyedRecord {
 	r, err := catalog.AcceptRecord(newJob(id))
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	return r
 }
 
-func ended(t require, id string, s progress.State) provider.KeyedRecord {
+func progressRecord(t fataler, id string, s progress.State) provider.KeyedRecord {
 	p := progress.New(newJob(id))
 	p.State = s
 	r, err := catalog.ProgressRecord(id, p)
@@ -35,7 +35,7 @@
 	return r
 }
 
-type require interface{ Fatal(...any) }
+type fataler interface{ Fatal(...any) }
 
 func TestState(t *testing.T) {
 	tests := []struct {
@@ -46,24 +46,24 @@
 		known    bool
 	}{
 		{name: "never accepted"},
-		{name: "accepted", accepts: []provider.KeyedRecord{accept(t, "a")}, state: progress.Queued, known: true},
-		{name: "cancelled", accepts: []provider.KeyedRecord{accept(t, "a"), catalog.CancelRecord("a")}, state: progress.Cancelled, known: true},
-		{name: "cancelled before it was seen", accepts: []provider.KeyedRecord{catalog.CancelRecord("a"), accept(t, "a")}, state: progress.Cancelled, known: true},
+		{name: "accepted", accepts: []provider.KeyedRecord{acceptRecord(t, "a")}, state: progress.Queued, known: true},
+		{name: "cancelled", accepts: []provider.KeyedRecord{acceptRecord(t, "a"), catalog.CancelRecord("a")}, state: progress.Cancelled, known: true},
+		{name: "cancelled before it was seen", accepts: []provider.KeyedRecord{catalog.CancelRecord("a"), acceptRecord(t, "a")}, state: progress.Cancelled, known: true},
 		{
 			name:     "cancelled after it had completed",
-			accepts:  []provider.KeyedRecord{accept(t, "a"), catalog.CancelRecord("a")},
-			progress: []provider.KeyedRecord{ended(t, "a", progress.Completed)},
+			accepts:  []provider.KeyedRecord{acceptRecord(t, "a"), catalog.CancelRecord("a")},
+			progress: []provider.KeyedRecord{progressRecord(t, "a", progress.Completed)},
 			state:    progress.Completed,
 			known:    true,
 		},
 		{
 			name:     "an older record is read again",
-			accepts:  []provider.KeyedRecord{accept(t, "a")},
-			progress: []provider.KeyedRecord{ended(t, "a", progress.Completed), ended(t, "a", progress.Running)},
+			accepts:  []provider.KeyedRecord{acceptRecord(t, "a")},
+			progress: []provider.KeyedRecord{progressRecord(t, "a", progress.Completed), progressRecord(t, "a", progress.Running)},
 			state:    progress.Completed,
 			known:    true,
 		},
-		{name: "progress alone is no job", progress: []provider.KeyedRecord{ended(t, "a", progress.Running)}},
+		{name: "progress alone is no job", progress: []provider.KeyedRecord{progressRecord(t, "a", progress.Running)}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,12 +82,12 @@
 	}
 }
 
-// TestOrderOfStreams reads the two streams in any interleaving: the outcome
-// must be the same, as no instance reads them together.
+// TestOrderOfStreams reads the two streams in random interleavings. The result must be
+// the same, since instances read them independently.
 func TestOrderOfStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		accepts := []provider.KeyedRecord{accept(t, "a"), accept(t, "b"), catalog.CancelRecord("b"), accept(t, "a")}
-		done := []provider.KeyedRecord{ended(t, "a", progress.Running), ended(t, "a", progress.Completed)}
+		accepts := []provider.KeyedRecord{acceptRecord(t, "a"), acceptRecord(t, "b"), catalog.CancelRecord("b"), acceptRecord(t, "a")}
+		done := []provider.KeyedRecord{progressRecord(t, "a", progress.Running), progressRecord(t, "a", progress.Completed)}
 		c := catalog.New()
 		for len(accepts)+len(done) > 0 {
 			if len(done) == 0 || len(accepts) > 0 && rapid.Bool().Draw(t, "accept") {
@@ -110,30 +110,30 @@
 	})
 }
 
-// A backlog is held against jobs only while the owner that told of it has the cell.
+// Guards against rejections because of a backlog that an earlier owner wrote.
 func TestBacklog(t *testing.T) {
 	is := is.New(t)
 	c := catalog.New()
 	is.Equal(c.Backlog(), nil)
-	own := func(term uint64) {
+	setOwner := func(term uint64) {
 		r, err := catalog.OwnerRecord(catalog.Owner{Term: term})
 		is.NoErr(err)
 		is.NoErr(c.Progress(r))
 	}
-	tell := func(term uint64, b *overload.Backlog) {
+	writeBacklog := func(term uint64, b *overload.Backlog) {
 		r, err := catalog.BacklogRecord(term, b)
 		is.NoErr(err)
 		is.NoErr(c.Progress(r))
 	}
 	backlog := &overload.Backlog{Rate: 100, Tasks: map[int]int{0: 300, 2: 100}}
-	own(1)
-	tell(1, backlog)
+	setOwner(1)
+	writeBacklog(1, backlog)
 	is.Equal(c.Backlog(), backlog)
-	own(2)
+	setOwner(2)
 	is.Equal(c.Backlog(), nil)
-	tell(2, backlog)
+	writeBacklog(2, backlog)
 	is.Equal(c.Backlog(), backlog)
-	tell(2, nil)
+	writeBacklog(2, nil)
 	is.Equal(c.Backlog(), nil)
 	is.True(c.Progress(provider.KeyedRecord{Key: "backlog", Value: []byte("?")}) != nil)
 }
