--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -72,7 +72,7 @@
 	if d.isLeaving() || !d.observeOwner() {
 		return
 	}
-	if !d.claiming && d.canClaim() && d.election.Stand(d.clock(), d.progress.Age()) {
+	if !d.claiming && d.canClaim() && d.election.ShouldClaim(d.clock(), d.progress.Age()) {
 		d.startClaim()
 	}
 }
@@ -216,7 +216,7 @@
 	d.claiming = false
 	d.logger.Info("claim", zap.Uint64("term", c.owner.Term), zap.Error(c.err))
 	if c.err != nil {
-		d.election.Failed(d.clock())
+		d.election.DelayClaim(d.clock())
 		return
 	}
 	d.becomeOwner(c.owner)
@@ -229,7 +229,7 @@
 	c, err := cell.New(self, d.timing, d.catalog, d.clock(), time.Now())
 	if err != nil {
 		d.logger.Error("cell not taken", zap.Uint64("term", term), zap.Error(err))
-		d.election.Failed(d.clock())
+		d.election.DelayClaim(d.clock())
 		return
 	}
 	d.term = term
@@ -269,7 +269,7 @@
 	d.logger.Info("owner no more", zap.Uint64("term", d.term), zap.String("reason", reason))
 	d.cell = nil
 	d.setOwning(false, acceptsSpacing)
-	d.election.Failed(d.clock())
+	d.election.DelayClaim(d.clock())
 	d.endLeave()
 }
 
--- a/dispatcher/control_test.go
+++ b/dispatcher/control_test.go
@@ -36,7 +36,7 @@
 	is.NoErr(d.progress.Refresh(t.Context()))
 	is.NoErr(d.accepts.Refresh(t.Context()))
 	d.tick()
-	now += election.DefaultTiming().Handover
+	now += election.DefaultTiming().MaxHandoverDelay
 	d.tick()
 	is.True(d.claiming)
 	d.tomb.Kill(nil)
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -565,9 +565,9 @@
 				store := newSlowStore(2 * time.Millisecond)
 				owner, err := catalog.OwnerRecord(catalog.Owner{Term: 1, Instance: "other", Nonce: 7})
 				is.NoErr(err)
-				told, err := catalog.BacklogRecord(1, test.backlog)
+				backlog, err := catalog.BacklogRecord(1, test.backlog)
 				is.NoErr(err)
-				is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner, told}))
+				is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner, backlog}))
 				known, err := catalog.AcceptRecord(newJob(2))
 				is.NoErr(err)
 				d := start(ctx, store, 1)[0]
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -12,7 +12,7 @@
 
 func half() float64 { return 0.5 }
 
-func TestStand(t *testing.T) {
+func TestShouldClaim(t *testing.T) {
 	owner := catalog.Owner{Term: 3, Instance: "e2", Nonce: 8, Beat: 4}
 	tests := []struct {
 		name       string
@@ -20,7 +20,7 @@
 		processors float64
 		silence    time.Duration
 		age        time.Duration
-		stands     bool
+		claims     bool
 	}{
 		{"the owner writes", owner, 1, 400 * time.Millisecond, 0, false},
 		{"the owner is silent", owner, 1, 1700 * time.Millisecond, 0, true},
@@ -37,36 +37,35 @@
 			is := is.New(t)
 			e := election.New("e1", 7, test.processors, election.DefaultTiming(), half)
 			e.Observe(time.Second, test.owner)
-			is.Equal(e.Stand(time.Second+test.silence, test.age), test.stands)
+			is.Equal(e.ShouldClaim(time.Second+test.silence, test.age), test.claims)
 		})
 	}
 }
 
-// Symptom: an instance takes a cell from a sound owner. Sequence: it can't
-// read the store for a while, and reads it again. Cause: the time in which it
-// read nothing counted as the owner's silence.
-func TestOwnSilenceIsNoEvidence(t *testing.T) {
+// Guards against a takeover from a healthy owner by an instance that couldn't read the
+// store for a while: that time must not count towards the owner's heartbeat timeout.
+func TestFailedReadsAreNoSilence(t *testing.T) {
 	is := is.New(t)
 	e := election.New("e1", 7, 1, election.DefaultTiming(), half)
 	e.Observe(0, catalog.Owner{Term: 1, Instance: "e2"})
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
-		is.True(!e.Stand(at, at)) // nothing was read since the start
+		is.True(!e.ShouldClaim(at, at)) // no read since the start
 	}
-	is.True(!e.Stand(5100*time.Millisecond, 0)) // the first read says nothing of before
-	is.True(e.Stand(6500*time.Millisecond, 0))
+	is.True(!e.ShouldClaim(5100*time.Millisecond, 0)) // the time before the first read doesn't count
+	is.True(e.ShouldClaim(6500*time.Millisecond, 0))
 }
 
 func TestFailedClaimWaits(t *testing.T) {
 	is := is.New(t)
 	e := election.New("e1", 7, 1, election.DefaultTiming(), half)
 	e.Observe(0, catalog.Owner{})
-	is.True(e.Stand(time.Second, 0))
-	e.Failed(time.Second)
-	is.True(!e.Stand(1100*time.Millisecond, 0))
-	is.True(e.Stand(1400*time.Millisecond, 0))
+	is.True(e.ShouldClaim(time.Second, 0))
+	e.DelayClaim(time.Second)
+	is.True(!e.ShouldClaim(1100*time.Millisecond, 0))
+	is.True(e.ShouldClaim(1400*time.Millisecond, 0))
 }
 
-// Guards against an owner whose tokens reach into the next one's.
+// Guards against fencing tokens of an owner that overlap with those of the next one.
 func TestTerms(t *testing.T) {
 	tests := []struct {
 		name       string
