--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,40 +1,40 @@
-// Package overload tells when more is asked for than the cell's owner can order, or
-// than its workers have room for, and which jobs are rejected then.
+// Package overload detects when the cell's owner can't start tasks as fast as they
+// arrive, or its workers lack free capacity, and decides which jobs are rejected then.
 //
 // Usage, by the owner:
 //
 //	var g overload.Gauge
-//	g.Looked(now, bound)  // after each look for starts: whether it left tasks for want of its own means
+//	g.Looked(now, bound)  // after each scheduling pass: whether the owner's own limits left tasks waiting
 //	g.Started()           // for each start
-//	if b := g.Backlog(now); b != nil { // it doesn't keep up
-//		b.Add(priority, tasks)  // for each step that waits
+//	if b := g.Backlog(now); b != nil { // the owner doesn't keep up
+//		b.Add(priority, tasks)  // for each waiting step
 //	}
 //	priority, full := overload.Full(late, whole) // for each pool; into Backlog.Full
-//	// tell the other instances
+//	// write the Backlog for the other instances
 //
-// and where jobs are handed in:
+// and where jobs are submitted:
 //
 //	lag := b.Lag(priority)
 //	if overload.Rejects(lag, tasks, rand.Float64()) || lasting && !b.HasRoom(service, priority) {
 //		return fault.New(fault.Overloaded, "...").After(overload.RetryAfter(lag, rand.Float64()))
 //	}
 //
-// What goes wrong without it: an owner with little of a processor orders 400 to 500
-// starts a second of 600 that are asked for. All jobs are accepted, and those that
-// come last wait behind a backlog that grows by a third of a second each second;
-// they are late, and some aren't begun when everything else is over. It shows as
-// tasks that wait beside workers with room, and looks that end because enough
-// starts are without an answer. What can't be ordered in time is rejected at the
-// door, where its caller can still do something else.
+// An owner with a small share of a processor orders 400 to 500 starts a second where
+// 600 are requested. Without admission control, all jobs are accepted and the backlog
+// grows by a third of a second each second: the last jobs are late, and some aren't
+// started when everything else is done. Tasks then wait although workers have free
+// capacity, and scheduling passes end at the limit of unacknowledged starts.
+// Jobs that can't be started in time are rejected at submission, while their callers
+// can still send them elsewhere.
 //
-// The other thing that can be short is room. A lasting task holds its room for as long
-// as its job lasts, and one that waits fits each hole that another leaves, also where
-// an urgent one of a third of a worker doesn't. What goes wrong: some workers are
-// lost, lasting tasks come to hold nearly all of the rest, and urgent ones get a
-// fraction of what they ask for, until the end. It shows as urgent tasks beyond their
-// objective by the thousand beside workers without any room. So lasting jobs are
-// rejected while urgent ones of their pool wait for room (Full). A reserve wouldn't
-// do: a lasting task that was accepted mustn't wait beside free room.
+// Capacity can be short, too. A lasting task holds its capacity as long as its job
+// lasts, and a waiting one fits each gap that another leaves, also where an
+// urgent task of a third of a worker doesn't. So after the loss of some workers, lasting
+// tasks come to hold nearly all of the rest, and urgent tasks get a fraction of their
+// demand until the end: thousands of them exceed their objective while workers
+// have no free capacity. So lasting jobs are rejected while urgent ones of their pool
+// wait for capacity (Full). A reservation for urgent tasks is no alternative, since an
+// accepted lasting task mustn't wait beside free capacity.
 package overload
 
 import (
@@ -45,74 +45,75 @@
 )
 
 const (
-	// window is the time over which starts are counted. Answers take 80 ms under
-	// load, and the rate is the mean of some windows.
+	// window is the time over which starts are counted. It spans some answers, which
+	// take 80 ms under load.
 	window = 250 * time.Millisecond
-	// gain is the share of a new window that is believed.
+	// gain is the weight of a new window in the moving average of the rate.
 	gain = 0.3
-	// boundLooks is the share of a window's looks that have to end for want of the
-	// owner's own means for the backlog to count as its doing. Where workers have no
-	// room a look reaches the end of what waits.
-	boundLooks = 0.5
-	// bearableLag is the lag up to which no job is rejected: a burst that an owner
-	// works off in this time costs its callers a late job or two.
-	bearableLag = 1500 * time.Millisecond
-	// hopelessLag is the lag from which every job is rejected: objectives are one to
+	// minBoundShare is the share of a window's passes that must end at the owner's own
+	// limits for the owner to count as overloaded. Where only workers lack free
+	// capacity, a pass reaches the end of the queue.
+	minBoundShare = 0.5
+	// maxToleratedLag is the lag up to which no job is rejected: a burst that an owner
+	// works off in this time makes at most a job or two late.
+	maxToleratedLag = 1500 * time.Millisecond
+	// rejectAllLag is the lag from which every job is rejected: objectives are one to
 	// ten seconds, for all steps of a job together.
-	hopelessLag = 6 * time.Second
-	// usualTasks is the size of a job for which the share of rejected ones grows evenly
-	// between the two. Of larger ones more are rejected, of smaller ones fewer: to
-	// reject one of 80 tasks makes room for five of 16.
-	usualTasks = 32
-	// leastRetry and retrySpread make callers come back one after the other, when
-	// what waits has been worked off.
-	leastRetry  = time.Second
-	retrySpread = 2 * time.Second
-	// mostLag bounds what is told where hardly anything starts.
-	mostLag = 10 * time.Second
-	// crowdedShare is the share of a pool's processors that urgent tasks beyond their
-	// objective wait for, from which lasting jobs are rejected. Urgent jobs ask for 6%
-	// of a pool in the mean, so that less is a single wide step.
-	crowdedShare = 0.02
+	rejectAllLag = 6 * time.Second
+	// referenceTasks is the number of tasks of a job whose rejection probability grows
+	// linearly between the two lags. Larger jobs are rejected more often, smaller ones
+	// less often: rejecting one job of 80 tasks admits five of 16.
+	referenceTasks = 32
+	// minRetryAfter and retrySpread spread the retries of callers over the time after the
+	// backlog has been worked off.
+	minRetryAfter = time.Second
+	retrySpread   = 2 * time.Second
+	// maxLag bounds the reported lag where hardly any task starts.
+	maxLag = 10 * time.Second
+	// fullShare is the share of a pool's processors above which the demand of urgent
+	// tasks beyond their objective makes the pool full. Urgent jobs request 6% of a
+	// pool on average, so that less may be a single wide step.
+	fullShare = 0.02
 )
 
-// RoomPatience is how long an urgent task that is beyond its objective waits for room
-// before it counts in Full. A takeover, or an outage of the store, leaves many that are
-// late and find room at once.
+// RoomPatience is how long an urgent task beyond its objective waits for free capacity
+// before it counts in Full. After a takeover or an outage of the store many tasks are
+// late but find free capacity at once.
 const RoomPatience = time.Second
 
-// Gauge measures whether an owner keeps up. The zero Gauge is ready.
+// Gauge measures whether an owner starts tasks as fast as they arrive. The zero Gauge is
+// ready to use.
 type Gauge struct {
-	begun   time.Duration // of the window
-	looks   int           // in it
-	bound   int           // of those, the ones that left tasks for want of the owner's means
-	starts  int
-	rate    float64 // starts a second, over bound windows
-	lagging bool    // the last window was bound
+	windowStart time.Duration // start of the current window
+	passes      int           // scheduling passes in the window
+	boundPasses int           // passes of these that the owner's own limits ended
+	starts      int           // in the window
+	rate        float64       // starts a second, averaged over windows in which the owner lagged
+	lagging     bool          // in the last window
 }
 
-// Looked takes note of a look for starts, and of whether it left tasks because
-// the owner couldn't order more.
+// Looked counts a scheduling pass. Bound reports whether it left tasks waiting because
+// the owner couldn't order more starts.
 func (g *Gauge) Looked(now time.Duration, bound bool) {
 	g.roll(now)
-	g.looks++
+	g.passes++
 	if bound {
-		g.bound++
+		g.boundPasses++
 	}
 }
 
-// Started takes note of a start.
+// Started counts a start.
 func (g *Gauge) Started() {
 	g.starts++
 }
 
-// roll ends a window that is over.
+// roll evaluates the current window if it is over, and begins the next one.
 func (g *Gauge) roll(now time.Duration) {
-	passed := now - g.begun
+	passed := now - g.windowStart
 	if passed < window {
 		return
 	}
-	g.lagging = g.looks > 0 && float64(g.bound) >= boundLooks*float64(g.looks)
+	g.lagging = g.passes > 0 && float64(g.boundPasses) >= minBoundShare*float64(g.passes)
 	if g.lagging {
 		rate := float64(g.starts) / passed.Seconds()
 		if g.rate == 0 {
@@ -120,11 +121,11 @@
 		}
 		g.rate += gain * (rate - g.rate)
 	}
-	g.begun = now
-	g.looks, g.bound, g.starts = 0, 0, 0
+	g.windowStart = now
+	g.passes, g.boundPasses, g.starts = 0, 0, 0
 }
 
-// Backlog returns an empty backlog to be filled, nil while the owner keeps up.
+// Backlog returns an empty backlog for the caller to fill, nil while the owner keeps up.
 func (g *Gauge) Backlog(now time.Duration) *Backlog {
 	g.roll(now)
 	if !g.lagging {
@@ -133,33 +134,32 @@
 	return &Backlog{Rate: g.rate, Tasks: make(map[int]int)}
 }
 
-// Backlog is what an owner that doesn't keep up has to order, and which of its pools
-// are full.
+// Backlog holds the waiting tasks of an owner that doesn't keep up, and its full pools.
 type Backlog struct {
 	Rate  float64     `cbor:"1,keyasint"` // starts a second
-	Tasks map[int]int `cbor:"2,keyasint"` // that wait, by priority
-	// Full has the services whose pools are full, with the priority of the urgent tasks
-	// that wait for room there.
+	Tasks map[int]int `cbor:"2,keyasint"` // waiting tasks by priority
+	// Full maps the services whose pools are full to the priority of the urgent tasks
+	// that wait for capacity there.
 	Full map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Full reports whether so much is waited for in a pool, by urgent tasks beyond their
-// objective, that it counts as full: from which priority on lasting jobs are rejected.
-// Late is what each priority waits for, whole what the pool has, in the same unit.
+// Full reports whether a pool is full, and the priority from which on lasting jobs are
+// rejected then. A pool is full when the demand of waiting urgent tasks beyond their
+// objective exceeds a share of it. Late is that demand by priority, whole the
+// capacity of the pool, in the same unit.
 func Full(late map[int]int64, whole int64) (priority int, full bool) {
 	sum := int64(0)
 	for _, p := range slices.Sorted(maps.Keys(late)) {
 		sum += late[p]
-		if float64(sum) > crowdedShare*float64(whole) {
+		if float64(sum) > fullShare*float64(whole) {
 			return p, true
 		}
 	}
 	return 0, false
 }
 
-// HasRoom reports whether a lasting job finds room in a service's pool without taking
-// it from urgent ones that go before it or are its equals. It is true for a nil
-// Backlog.
+// HasRoom reports whether a lasting job may enter a service's pool: the pool isn't full,
+// or the job goes before the urgent tasks that wait there. It is true for a nil Backlog.
 func (b *Backlog) HasRoom(service string, priority int) bool {
 	if b == nil {
 		return true
@@ -168,13 +168,13 @@
 	return !full || priority < waiting
 }
 
-// Add counts the tasks of a step that waits.
+// Add counts the tasks of a waiting step.
 func (b *Backlog) Add(priority, tasks int) {
 	b.Tasks[priority] += tasks
 }
 
-// Lag returns how long the owner takes to order what goes before a job, or was there
-// before it. It is zero for a nil Backlog.
+// Lag returns how long the owner takes to start the waiting tasks of the same or a more
+// urgent priority. It is zero for a nil Backlog.
 func (b *Backlog) Lag(priority int) time.Duration {
 	if b == nil {
 		return 0
@@ -189,25 +189,25 @@
 		return 0
 	}
 	if b.Rate <= 0 {
-		return mostLag
+		return maxLag
 	}
-	return min(mostLag, time.Duration(float64(ahead)/b.Rate*float64(time.Second)))
+	return min(maxLag, time.Duration(float64(ahead)/b.Rate*float64(time.Second)))
 }
 
-// Rejects reports whether a job of so many tasks is rejected by an owner that lags
-// by so much. Random is from 0 to 1: the larger the lag, the more jobs are rejected,
-// so that what is accepted comes as fast as it is ordered.
+// Rejects reports whether to reject a job with a number of tasks at a lag of the owner.
+// Random is from 0 to 1. The larger the lag, the more jobs are rejected, so that
+// tasks are accepted as fast as the owner starts them.
 func Rejects(lag time.Duration, tasks int, random float64) bool {
-	part := float64(lag-bearableLag) / float64(hopelessLag-bearableLag)
-	if part <= 0 {
+	rejectShare := float64(lag-maxToleratedLag) / float64(rejectAllLag-maxToleratedLag)
+	if rejectShare <= 0 {
 		return false
 	}
-	taken := math.Pow(1-min(1, part), float64(tasks)/usualTasks)
-	return random >= taken
+	acceptProbability := math.Pow(1-min(1, rejectShare), float64(tasks)/referenceTasks)
+	return random >= acceptProbability
 }
 
-// RetryAfter returns when the caller of a rejected job should come back. Random is
+// RetryAfter returns when the caller of a rejected job should retry. Random is
 // from 0 to 1.
 func RetryAfter(lag time.Duration, random float64) time.Duration {
-	return max(leastRetry, lag) + time.Duration(random*float64(retrySpread))
+	return max(minRetryAfter, lag) + time.Duration(random*float64(retrySpread))
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -10,36 +10,36 @@
 	"github.com/dogwoodladder/dogwoodladder/overload"
 )
 
-// owner orders so many starts a second of what is asked for, first come, first
-// served.
+// owner models an owner that starts a limited number of tasks a second, first come,
+// first served.
 type owner struct {
 	gauge     overload.Gauge
 	now       time.Duration
-	perSecond float64 // starts that it can order
+	perSecond float64 // maximum rate of starts
 	credit    float64
-	waiting   []time.Duration // since when each task does
-	room      int             // tasks that workers have room for
+	waiting   []time.Duration // arrival times of the waiting tasks
+	room      int             // tasks that fit into the workers' free capacity
 	started   int
-	longest   time.Duration // that a task waited
+	maxWait   time.Duration // longest wait of a task
 }
 
-const lookEvery = 5 * time.Millisecond
+const passInterval = 5 * time.Millisecond
 
-func (o *owner) ask(tasks int) {
+func (o *owner) submit(tasks int) {
 	for range tasks {
 		o.waiting = append(o.waiting, o.now)
 	}
 }
 
-// look orders what can be ordered.
-func (o *owner) look() {
-	o.now += lookEvery
-	each := o.perSecond * lookEvery.Seconds()
-	o.credit = min(o.credit+each, each+1)
+// schedule runs a scheduling pass.
+func (o *owner) schedule() {
+	o.now += passInterval
+	added := o.perSecond * passInterval.Seconds()
+	o.credit = min(o.credit+added, added+1)
 	n := min(len(o.waiting), o.room, int(o.credit))
 	for _, since := range o.waiting[:n] {
 		o.gauge.Started()
-		o.longest = max(o.longest, o.now-since)
+		o.maxWait = max(o.maxWait, o.now-since)
 	}
 	o.started += n
 	o.waiting = o.waiting[n:]
@@ -48,7 +48,7 @@
 	o.gauge.Looked(o.now, len(o.waiting) > 0 && o.room > 0)
 }
 
-// backlog is what the owner tells.
+// backlog returns the backlog that the owner would write.
 func (o *owner) backlog() *overload.Backlog {
 	b := o.gauge.Backlog(o.now)
 	if b != nil {
@@ -59,11 +59,11 @@
 
 func TestLag(t *testing.T) {
 	tests := []struct {
-		name        string
-		perSecond   float64
-		room        int
-		waiting     int
-		least, most time.Duration
+		name      string
+		perSecond float64
+		room      int
+		waiting   int
+		min, max  time.Duration
 	}{
 		{"keeps up", 3000, 1 << 20, 100, 0, 0},
 		{"a backlog of its own", 400, 1 << 20, 2000, 3 * time.Second, 5 * time.Second},
@@ -75,18 +75,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			o := owner{perSecond: test.perSecond, room: test.room}
-			o.ask(test.waiting)
+			o.submit(test.waiting)
 			for o.now < time.Second {
-				o.look()
+				o.schedule()
 			}
 			lag := o.backlog().Lag(0)
-			is.True(lag >= test.least)
-			is.True(lag <= test.most)
+			is.True(lag >= test.min)
+			is.True(lag <= test.max)
 		})
 	}
 }
 
-// A job doesn't wait behind what is less urgent.
+// TestLagByPriority checks that the lag of a job doesn't count less urgent tasks.
 func TestLagByPriority(t *testing.T) {
 	is := is.New(t)
 	b := &overload.Backlog{Rate: 100, Tasks: make(map[int]int)}
@@ -98,7 +98,7 @@
 }
 
 func TestRejects(t *testing.T) {
-	const between = 3750 * time.Millisecond // half way from bearable to hopeless
+	const between = 3750 * time.Millisecond // halfway between maxToleratedLag and rejectAllLag
 	tests := []struct {
 		name   string
 		lag    time.Duration
@@ -128,21 +128,19 @@
 	is.Equal(overload.RetryAfter(2*time.Second, 0.5), 3*time.Second)
 }
 
-// Symptom: jobs that were accepted wait for ten seconds and more beside workers with
-// room, and some aren't begun when everything else is over. Sequence: 600 tasks a
-// second are asked for over 40 s, in jobs of 14 and of 80, and the owner orders 450.
-// Cause: all were accepted. What callers get instead: a third of the large jobs is
-// rejected at once, and few of the small ones; what is accepted starts within four
-// seconds, none of the owner's means lie idle, and nothing is rejected while it keeps
-// up.
+// Guards against accepted jobs that wait ten seconds and more because an overloaded owner
+// accepted everything: 600 tasks a second arrive for 40 s, in jobs of 14 and of 80 tasks,
+// and the owner starts 450 a second. A third of the large jobs and few small ones should
+// be rejected, accepted tasks start within four seconds, and the owner is fully used. An
+// owner that keeps up rejects nothing.
 func TestWhatCallersGetFromASmallOwner(t *testing.T) {
-	const asked = 600
+	const requested = 600
 	tests := []struct {
 		name      string
 		perSecond float64
-		small     [2]float64 // share that is rejected, least and most
+		small     [2]float64 // minimum and maximum share of rejected jobs
 		large     [2]float64
-		longest   time.Duration
+		maxWait   time.Duration
 	}{
 		{"small", 450, [2]float64{0.02, 0.12}, [2]float64{0.2, 0.4}, 4 * time.Second},
 		{"keeps up", 700, [2]float64{}, [2]float64{}, 500 * time.Millisecond},
@@ -152,29 +150,29 @@
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(1, 2))
 			o := owner{perSecond: test.perSecond, room: 1 << 30}
-			told := make(map[time.Duration]*overload.Backlog) // instances hear of it half a second later
+			written := make(map[time.Duration]*overload.Backlog) // other instances read it half a second later
 			jobs, rejected := map[int]float64{}, map[int]float64{}
 			next := 14
 			for due := 0.0; o.now < 40*time.Second; {
-				o.look()
-				told[o.now] = o.backlog()
-				lag := told[o.now-500*time.Millisecond].Lag(0)
-				for due += asked * lookEvery.Seconds(); due >= float64(next); next = 94 - next {
+				o.schedule()
+				written[o.now] = o.backlog()
+				lag := written[o.now-500*time.Millisecond].Lag(0)
+				for due += requested * passInterval.Seconds(); due >= float64(next); next = 94 - next {
 					due -= float64(next)
 					jobs[next]++
 					if overload.Rejects(lag, next, random.Float64()) {
 						rejected[next]++
 						continue
 					}
-					o.ask(next)
+					o.submit(next)
 				}
 			}
 			small, large := rejected[14]/jobs[14], rejected[80]/jobs[80]
-			t.Logf("rejected: %.2f of the small, %.2f of the large; %v waited for at the most", small, large, o.longest)
+			t.Logf("rejected: %.2f of the small, %.2f of the large; %v waited for at the most", small, large, o.maxWait)
 			is.True(small >= test.small[0] && small <= test.small[1])
 			is.True(large >= test.large[0] && large <= test.large[1])
-			is.True(o.longest <= test.longest)
-			is.True(float64(o.started) >= 0.95*min(test.perSecond, asked)*o.now.Seconds())
+			is.True(o.maxWait <= test.maxWait)
+			is.True(float64(o.started) >= 0.95*min(test.perSecond, requested)*o.now.Seconds())
 		})
 	}
 }
@@ -211,6 +209,6 @@
 	is.Equal(b.Lag(5), time.Duration(0))
 	is.True(!b.HasRoom("pool", 1))
 	is.True(!b.HasRoom("pool", 2))
-	is.True(b.HasRoom("pool", 0)) // it goes before those that wait
+	is.True(b.HasRoom("pool", 0)) // more urgent than the waiting tasks
 	is.True(b.HasRoom("other", 1))
 }
--- a/ranking/ranking.go
+++ b/ranking/ranking.go
@@ -1,17 +1,17 @@
-// Package ranking decides which of the work that waits is started first.
+// Package ranking decides the order in which waiting work is started.
 //
 // Usage:
 //
-//	r := ranking.New(slices.Values(ranks)) // of all that waits, now and then
+//	r := ranking.New(slices.Values(ranks)) // of all waiting work, periodically
 //	slices.SortStableFunc(steps, func(a, b *step) int { return r.Compare(a.rank, b.rank) })
 //
-// The load that it answers is one that swings around what the workers can do. While all
-// can be in time, what has to begin first goes first: no order is in time more often.
-// Once more is asked for, that order is the worst one: each job waits until it is barely
-// in time, and what then takes a little longer than estimated is late. So where some work
-// of a priority is late already, the jobs with the least work left go first, which has the
-// most callers answered in time for the work that is done. Nothing is lost for those whose
-// time is over: they come after the rest in either order.
+// It is made for a load that swings around the capacity of the workers. While all work can
+// meet its objective, the work with the earliest due time goes first (earliest deadline
+// first): no order meets more objectives. Under overload that order is the worst one: each
+// job waits until it can barely meet its objective, and is late if it takes a little longer
+// than estimated. So once some work of a priority is late, the jobs with the least
+// remaining work go first, which meets the most objectives for the work done. Jobs that
+// are too late lose nothing by it: they come after the rest in either order.
 package ranking
 
 import (
@@ -22,7 +22,7 @@
 
 //go:generate go tool stringer -type=Standing -linecomment
 
-// Standing tells how a job stands to its objective.
+// Standing classifies a job by whether it can still meet its objective.
 type Standing uint8
 
 // Standings, in the order in which jobs are started.
@@ -32,12 +32,12 @@
 	TooLate                 // too late
 )
 
-// lateFactor is the multiple of its objective from which a job that is late is
-// worth nothing to its caller any more.
+// lateFactor is the multiple of its objective from which a late job has no value to its
+// caller any more.
 const lateFactor = 3
 
-// StandingOf returns how a job stands that began to wait at a time and has to go on by due
-// to meet its objective.
+// StandingOf returns the standing of a job that began to wait at begun and has to
+// continue by due to meet its objective.
 func StandingOf(now, begun, due, objective time.Duration) Standing {
 	switch {
 	case now <= due:
@@ -48,23 +48,22 @@
 	return TooLate
 }
 
-// Rank is what the order of some work depends on.
+// Rank holds the sort keys of some waiting work.
 type Rank struct {
 	Priority int // the lowest goes first
 	Standing Standing
-	Due      time.Duration // when it has to begin for its job to be in time
-	// Work is what is left of its job, in core-seconds, zero where the workers' room for
-	// it is reserved: a step that waits for room goes by when it has to begin.
+	Due      time.Duration // latest start for which its job meets the objective
+	// Work is the remaining work of its job in core-seconds, zero where the workers'
+	// capacity for it is reserved: a step that waits for a reservation is ordered by Due.
 	Work float64
 }
 
-// Ranking is an order of work. The zero Ranking is that of a load at which all can be in
-// time.
+// Ranking is an order of work. The zero Ranking is the order without overload.
 type Ranking struct {
-	overloaded map[int]bool // priorities of which some work is late
+	overloaded map[int]bool // priorities with late work
 }
 
-// New returns the Ranking for what waits.
+// New returns the Ranking for the waiting work.
 func New(waiting iter.Seq[Rank]) Ranking {
 	r := Ranking{overloaded: make(map[int]bool)}
 	for rank := range waiting {
--- a/ranking/ranking_test.go
+++ b/ranking/ranking_test.go
@@ -13,18 +13,18 @@
 
 func TestCompare(t *testing.T) {
 	var (
-		soon  = ranking.Rank{Priority: 1, Due: time.Second, Work: 90}
-		small = ranking.Rank{Priority: 1, Due: 2 * time.Second, Work: 10}
-		late  = ranking.Rank{Priority: 1, Standing: ranking.Late, Work: 5}
-		lost  = ranking.Rank{Priority: 1, Standing: ranking.TooLate, Work: 1}
-		first = ranking.Rank{Priority: 0, Standing: ranking.Late, Work: 500}
+		soon    = ranking.Rank{Priority: 1, Due: time.Second, Work: 90}
+		small   = ranking.Rank{Priority: 1, Due: 2 * time.Second, Work: 10}
+		late    = ranking.Rank{Priority: 1, Standing: ranking.Late, Work: 5}
+		tooLate = ranking.Rank{Priority: 1, Standing: ranking.TooLate, Work: 1}
+		first   = ranking.Rank{Priority: 0, Standing: ranking.Late, Work: 500}
 	)
 	tests := []struct {
 		name    string
-		waiting []ranking.Rank // in the order that is wanted
+		waiting []ranking.Rank // in the expected order
 	}{
 		{"all in time, by due", []ranking.Rank{soon, small}},
-		{"some late, by work", []ranking.Rank{small, soon, late, lost}},
+		{"some late, by work", []ranking.Rank{small, soon, late, tooLate}},
 		{"late work of another priority", []ranking.Rank{first, soon, small}},
 		{"late ones by work", []ranking.Rank{late, {Priority: 1, Standing: ranking.Late, Work: 6}}},
 	}
@@ -58,25 +58,25 @@
 }
 
 const (
-	places   = 40 // tasks that run at once
-	loadFor  = 60 * time.Second
-	lookEach = 50 * time.Millisecond
+	slots         = 40 // tasks that run at once
+	simulatedTime = 60 * time.Second
+	passInterval  = 50 * time.Millisecond
 )
 
-// play has requests come at a multiple of what the places can do, and returns how they
-// were served. What waits is ordered by what order returns.
-func play(load float64, order func([]ranking.Rank) ranking.Ranking) []*request {
+// simulate simulates requests that arrive at a multiple of the capacity, and returns them with
+// their start times. Waiting requests are sorted by the Ranking that order returns.
+func simulate(load float64, order func([]ranking.Rank) ranking.Ranking) []*request {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var all, waiting []*request
 	var ends []time.Duration
-	owed := 0.0
-	for now := lookEach; now < loadFor; now += lookEach {
-		for owed += load * places * lookEach.Seconds(); owed > 0; {
+	missingLoad := 0.0
+	for now := passInterval; now < simulatedTime; now += passInterval {
+		for missingLoad += load * slots * passInterval.Seconds(); missingLoad > 0; {
 			length := time.Duration((0.5 + 4*rng.Float64()*rng.Float64()) * float64(time.Second))
 			estimate := time.Duration((0.6 + 0.8*rng.Float64()) * float64(length))
 			r := &request{arrived: now, length: length, estimate: estimate}
 			all, waiting = append(all, r), append(waiting, r)
-			owed -= length.Seconds()
+			missingLoad -= length.Seconds()
 		}
 		ends = slices.DeleteFunc(ends, func(end time.Duration) bool { return end <= now })
 		ranks := make([]ranking.Rank, len(waiting))
@@ -85,7 +85,7 @@
 		}
 		o := order(ranks)
 		slices.SortStableFunc(waiting, func(a, b *request) int { return o.Compare(a.rank(now), b.rank(now)) })
-		n := min(len(waiting), places-len(ends))
+		n := min(len(waiting), slots-len(ends))
 		for _, r := range waiting[:n] {
 			r.begun = now
 			ends = append(ends, now+r.length)
@@ -95,8 +95,8 @@
 	return all
 }
 
-// shareInTime returns the share of requests that were in time, of all and of the largest
-// tenth.
+// shareInTime returns the share of requests that met their objective, among all and among
+// the largest tenth.
 func shareInTime(all []*request) (whole, largest float64) {
 	share := func(requests []*request) float64 {
 		n := 0
@@ -111,8 +111,8 @@
 	return share(all), share(bySize[:len(all)/10])
 }
 
-// Callers of an overloaded pool get more answers in time than by due alone, and lose
-// nothing while there is room for all.
+// TestCallersAreInTime checks that under overload more requests meet their objective than in
+// the order of due times, and not fewer while the capacity suffices.
 func TestCallersAreInTime(t *testing.T) {
 	byDue := func([]ranking.Rank) ranking.Ranking { return ranking.Ranking{} }
 	ranked := func(ranks []ranking.Rank) ranking.Ranking { return ranking.New(slices.Values(ranks)) }
@@ -128,8 +128,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			before, largestBefore := shareInTime(play(tt.load, byDue))
-			after, largestAfter := shareInTime(play(tt.load, ranked))
+			before, largestBefore := shareInTime(simulate(tt.load, byDue))
+			after, largestAfter := shareInTime(simulate(tt.load, ranked))
 			t.Logf("in time: %.3f by due, %.3f ranked; of the largest tenth %.3f and %.3f", before, after, largestBefore, largestAfter)
 			if after < before+tt.gain {
 				t.Errorf("%.3f in time, %.3f by due alone", after, before)
