--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -23,7 +23,7 @@
 	saveTimeout     = 1200 * time.Millisecond
 )
 
-// claimResult is the outcome of an attempt to claimResult the cell.
+// claimResult is the outcome of an attempt to claim the cell.
 type claimResult struct {
 	owner catalog.Owner
 	err   error
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -386,7 +386,7 @@
 	return func() time.Duration { return time.Since(begun) }
 }
 
-// sendListPeriodically passes the sendListPeriodically of workers to d every 300 ms, as the periodic reader does.
+// sendListPeriodically passes the list of workers to d every 300 ms, as the periodic reader does.
 func sendListPeriodically(ctx context.Context, d *dispatcher.Dispatcher, clock func() time.Duration, hosts ...provider.Host) {
 	for ctx.Err() == nil {
 		d.SetHosts(provider.HostList{Hosts: hosts, AsOf: clock()})
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -52,7 +52,7 @@
 	done   chan error
 }
 
-// States of an entry. An entry that was withdrawn before it was sent is certain not to
+// States of a pendingWrite. One that was withdrawn before it was sent is certain not to
 // be on record.
 const (
 	writeWaiting int32 = iota
--- a/job/job.go
+++ b/job/job.go
@@ -1,5 +1,5 @@
-// Package job describes batch work as callers hand it in: a job of steps,
-// each of a number of equal tasks, once or at scheduled times.
+// Package job describes batch work as callers submit it: a job of steps,
+// each with a number of equal tasks, run once or at scheduled times.
 //
 // Usage:
 //
@@ -11,7 +11,7 @@
 //		fmt.Println(t) // 5c0e7a21d94b36f8.0.1.17
 //	}
 //
-// A Job doesn't change once it is accepted and may be shared.
+// A Job is immutable once it is accepted, so that it may be shared.
 package job
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Bounds on what one job may ask for. They keep the memory and the time that
-// a single request can take from an instance finite.
+// Limits of a job. They bound the memory and the time that a single request can take
+// from an instance.
 const (
 	MaxSteps = 256    // steps of a job
 	MaxTasks = 20_000 // tasks of a job's steps together
@@ -36,56 +36,56 @@
 // Job is accepted batch work.
 type Job struct {
 	ID       string `cbor:"1,keyasint"`
-	Queue    string `cbor:"2,keyasint"` // name of the queue that it came by
-	Terms    Terms  `cbor:"3,keyasint"` // the queue's terms when it was accepted
+	Queue    string `cbor:"2,keyasint"` // name of the queue that accepted it
+	Terms    Terms  `cbor:"3,keyasint"` // terms of the queue at that time
 	Spec     string `cbor:"4,keyasint,omitempty"`
 	Steps    []Step `cbor:"5,keyasint"`
 	First    int64  `cbor:"6,keyasint,omitempty"` // first occurrence, Unix milliseconds
 	Interval int64  `cbor:"7,keyasint,omitempty"` // between occurrences, milliseconds
-	Times    int    `cbor:"8,keyasint,omitempty"` // occurrences; zero runs once, at once
-	Accepted int64  `cbor:"9,keyasint,omitempty"` // Unix milliseconds, by the clock of the instance that took it
+	Times    int    `cbor:"8,keyasint,omitempty"` // number of occurrences; zero runs the job once, immediately
+	Accepted int64  `cbor:"9,keyasint,omitempty"` // Unix milliseconds, on the clock of the instance that accepted it
 }
 
-// Terms are what a queue promises to its jobs.
+// Terms are the conditions under which a queue runs its jobs.
 type Terms struct {
 	Service   string        `cbor:"1,keyasint"`           // pool of workers that runs the tasks
-	Priority  int           `cbor:"2,keyasint,omitempty"` // 0 comes first
-	Attempts  int           `cbor:"3,keyasint,omitempty"` // failures of one task before the job fails
-	Stretch   float64       `cbor:"4,keyasint,omitempty"` // objective as a multiple of the longest chain of work
-	Objective time.Duration `cbor:"5,keyasint,omitempty"` // and what comes on top
-	Advice    *Advice       `cbor:"6,keyasint,omitempty"` // set where only some workers may run a step
+	Priority  int           `cbor:"2,keyasint,omitempty"` // 0 is the most urgent
+	Attempts  int           `cbor:"3,keyasint,omitempty"` // failures of one task after which the job fails
+	Stretch   float64       `cbor:"4,keyasint,omitempty"` // variable part of the objective, as a multiple of the critical path
+	Objective time.Duration `cbor:"5,keyasint,omitempty"` // constant part of the objective
+	Advice    *Advice       `cbor:"6,keyasint,omitempty"` // set if an adviser selects the workers of a step
 }
 
-// Advice describes the service that says which workers may run a step.
+// Advice describes the service that selects the workers which may run a step.
 type Advice struct {
-	Decision time.Duration `cbor:"1,keyasint"` // time of an answer
-	Each     time.Duration `cbor:"2,keyasint"` // and per worker asked about
-	Valid    time.Duration `cbor:"3,keyasint"` // how long a ticket is good for
+	Decision time.Duration `cbor:"1,keyasint"` // constant part of the response time
+	Each     time.Duration `cbor:"2,keyasint"` // additional response time per worker in the request
+	Valid    time.Duration `cbor:"3,keyasint"` // validity of a ticket
 }
 
-// Step is a number of equal tasks.
+// Step is a set of equal tasks.
 type Step struct {
 	Count       int             `cbor:"1,keyasint"`
 	Need        resource.Vector `cbor:"2,keyasint"`            // of one task
-	Estimate    time.Duration   `cbor:"3,keyasint,omitempty"`  // rough run time, often far off
-	After       []int           `cbor:"4,keyasint,omitempty"`  // earlier steps that must be done first
-	Gang        bool            `cbor:"5,keyasint,omitempty"`  // tasks work only all together
-	SameRack    bool            `cbor:"6,keyasint,omitempty"`  // slow when spread over racks
-	Label       string          `cbor:"7,keyasint,omitempty"`  // that the worker must have
-	Rack        string          `cbor:"8,keyasint,omitempty"`  // where the data is; elsewhere is slow
-	PerWorker   int             `cbor:"9,keyasint,omitempty"`  // at most so many on one worker; zero is no bound
-	Copies      bool            `cbor:"10,keyasint,omitempty"` // several may run; the first end counts
+	Estimate    time.Duration   `cbor:"3,keyasint,omitempty"`  // rough run time, often very inaccurate
+	After       []int           `cbor:"4,keyasint,omitempty"`  // numbers of earlier steps that must be done first
+	Gang        bool            `cbor:"5,keyasint,omitempty"`  // the tasks only work if all run at once
+	SameRack    bool            `cbor:"6,keyasint,omitempty"`  // the tasks are slow when spread over racks
+	Label       string          `cbor:"7,keyasint,omitempty"`  // required label of the worker
+	Rack        string          `cbor:"8,keyasint,omitempty"`  // rack of the input data; the tasks are slow elsewhere
+	PerWorker   int             `cbor:"9,keyasint,omitempty"`  // maximum number of tasks on one worker; zero is no limit
+	Copies      bool            `cbor:"10,keyasint,omitempty"` // several copies of a task may run; the first end counts
 	Lasting     bool            `cbor:"11,keyasint,omitempty"` // runs until the job is cancelled
-	Image       string          `cbor:"12,keyasint,omitempty"` // tasks of one image behave alike
-	Target      time.Duration   `cbor:"13,keyasint,omitempty"` // bound on the tail of a serving task
-	Fills       bool            `cbor:"14,keyasint,omitempty"` // takes only processor time left over
-	MayMiss     int             `cbor:"15,keyasint,omitempty"` // lasting tasks that may be away by our doing
-	Checkpoints bool            `cbor:"16,keyasint,omitempty"` // saves its progress
+	Image       string          `cbor:"12,keyasint,omitempty"` // tasks with the same image have similar interference
+	Target      time.Duration   `cbor:"13,keyasint,omitempty"` // upper bound of a serving task's tail latency
+	Fills       bool            `cbor:"14,keyasint,omitempty"` // filling task: uses only idle processor time
+	MayMiss     int             `cbor:"15,keyasint,omitempty"` // number of lasting tasks that the owner may stop at the same time
+	Checkpoints bool            `cbor:"16,keyasint,omitempty"` // the tasks write checkpoints
 }
 
-// Reserved is what one task of the step takes from a worker's capacity. A
-// task that fills runs on processor time that others leave, so only its
-// memory and accelerators are reserved.
+// Reserved returns the capacity that one task of the step reserves on a worker. A
+// filling task runs on idle processor time, so only its memory and accelerators are
+// reserved.
 func (s *Step) Reserved() resource.Vector {
 	need := s.Need
 	if s.Fills {
@@ -94,18 +94,18 @@
 	return need
 }
 
-// Serves reports whether the step's tasks have users of their own whose
-// answers other tasks can slow down.
+// Serves reports whether the step's tasks are serving tasks: they answer users, whose
+// response times other tasks can slow down.
 func (s *Step) Serves() bool {
 	return s.Lasting && s.Target > 0
 }
 
-// Occurrences returns how many times the job's steps run.
+// Occurrences returns the number of times that the job's steps run.
 func (j *Job) Occurrences() int {
 	return max(1, j.Times)
 }
 
-// Scheduled reports whether the job runs at set times.
+// Scheduled reports whether the job has a schedule.
 func (j *Job) Scheduled() bool {
 	return j.Times > 0
 }
@@ -120,7 +120,7 @@
 	return false
 }
 
-// Due returns when an occurrence may begin, in Unix milliseconds. It is zero
+// Due returns the earliest start of an occurrence in Unix milliseconds. It is zero
 // for a job without a schedule.
 func (j *Job) Due(occurrence int) int64 {
 	if !j.Scheduled() {
@@ -129,7 +129,7 @@
 	return j.First + int64(occurrence)*j.Interval
 }
 
-// Width returns how many tasks one occurrence has.
+// Width returns the number of tasks of one occurrence.
 func (j *Job) Width() int {
 	n := 0
 	for i := range j.Steps {
@@ -138,7 +138,7 @@
 	return n
 }
 
-// Check returns an error of kind Invalid that names the first fault found.
+// Check validates the job. It returns an error of kind Invalid for the first fault.
 func (j *Job) Check() error {
 	if len(j.Steps) == 0 || len(j.Steps) > MaxSteps {
 		return fault.New(fault.Invalid, "a job has 1 to %d steps, not %d", MaxSteps, len(j.Steps))
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// Task names one task of a job.
+// Task identifies one task of a job.
 type Task struct {
 	Job        string
 	Occurrence int
@@ -185,8 +185,7 @@
 	Index      int
 }
 
-// String returns the task's name: job, occurrence, step and index, with dots
-// between them.
+// String returns the task's name: job, occurrence, step and index, separated by dots.
 func (t Task) String() string {
 	b := make([]byte, 0, len(t.Job)+24)
 	b = append(b, t.Job...)
@@ -197,7 +196,7 @@
 	return string(b)
 }
 
-// ParseTask returns the task of a name that String wrote.
+// ParseTask parses the name of a task as String returns it.
 func ParseTask(name string) (Task, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
@@ -214,7 +213,7 @@
 	return Task{Job: parts[0], Occurrence: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
 }
 
-// StepName names one step of one occurrence of a job.
+// StepName returns the name of one step of one occurrence of a job.
 func StepName(id string, occurrence, step int) string {
 	return fmt.Sprintf("%s.%d.%d", id, occurrence, step)
 }
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -15,7 +15,7 @@
 	tests := []struct {
 		name string
 		job  job.Job
-		says string // empty for a sound job
+		says string // part of the error, empty for a valid job
 	}{
 		{"sound", job.Job{Steps: []job.Step{{Count: 2}, {Count: 1, After: []int{0}}}}, ""},
 		{"no steps", job.Job{}, "1 to 256 steps"},
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,12 +1,12 @@
-// Package queue is the operators' configuration of batch queues: which queue
-// a request belongs to, which pool of workers serves it, and on what terms.
+// Package queue holds the operators' configuration of batch queues: which queue
+// a request belongs to, which pool of workers runs its jobs, and on which terms.
 //
 // Usage:
 //
 //	table := queue.New(version, queues, services)
 //	q, rest, ok := table.Find("nony24.example", "/lohu930/5c0e7a21d94b36f8")
 //
-// A Table doesn't change and may be shared.
+// A Table is immutable and may be shared.
 package queue
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// Queue is a named entrance for jobs.
+// Queue accepts the jobs of requests with a host and a path prefix.
 type Queue struct {
 	Name   string
 	Host   string
-	Prefix string // of the path; the longest that fits wins
+	Prefix string // of the path; the longest match wins
 	Terms  job.Terms
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name    string
-	Guarded bool // its workers refuse what doesn't fit
-	Standby bool // its workers are switched off until they are moved elsewhere
+	Guarded bool // its workers refuse tasks that exceed their capacity
+	Standby bool // its workers are off until they are moved to another pool
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of a request.
 type Limits struct {
 	Body   int64 // bytes of a body
 	Header int   // bytes of the header
 }
 
-// Table is one version of the configuration.
+// Table holds one version of the configuration.
 type Table struct {
 	Version  uint64
 	Limits   Limits
@@ -46,7 +46,7 @@
 	services map[string]Service
 }
 
-// New returns the Table of a version.
+// New returns a Table with a version.
 func New(version uint64, limits Limits, queues []Queue, services []Service) *Table {
 	t := &Table{
 		Version:  version,
@@ -67,7 +67,7 @@
 	return t
 }
 
-// Find returns the queue of a request and what follows its prefix.
+// Find returns the queue of a request and the rest of the path after its prefix.
 func (t *Table) Find(host, path string) (*Queue, string, bool) {
 	best := -1
 	for _, i := range t.byHost[strings.ToLower(host)] {
@@ -81,7 +81,7 @@
 	return &t.queues[best], path[len(t.queues[best].Prefix):], true
 }
 
-// Named returns the queue of a name.
+// Named returns the queue with a name.
 func (t *Table) Named(name string) (*Queue, bool) {
 	i, ok := t.byName[name]
 	if !ok {
@@ -90,13 +90,13 @@
 	return &t.queues[i], true
 }
 
-// Service returns the pool of a name.
+// Service returns the pool with a name.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Serves reports whether any queue sends its tasks to a pool.
+// Serves reports whether any queue uses a pool.
 func (t *Table) Serves(service string) bool {
 	for i := range t.queues {
 		if t.queues[i].Terms.Service == service {
