--- a/colocation/colocation.go
+++ b/colocation/colocation.go
@@ -1,4 +1,4 @@
-// Package colocation tells what it costs to have tasks that serve users on one
+// Package colocation computes the cost of placing serving tasks together on one
 // worker, in processors that filling tasks then can't use any more.
 //
 // Usage:
@@ -8,18 +8,18 @@
 //		w.set = plan.Set(w.images)
 //		w.set.Count(w.size)
 //	}
-//	loss := w.set.Loss("quote")             // of putting a further image there
-//	cost := w.set.Cost("rebuild", 0.1)      // of filling a tenth of the worker
-//	gain, leave := w.set.Spoiled(w.running) // by having some images leave
+//	loss := w.set.Loss("quote")             // of placing a further image there
+//	cost := w.set.Cost("rebuild", 0.1)      // of a filling task with a tenth of the worker
+//	gain, leave := w.set.Spoiled(w.running) // of moving some images away
 //
-// Which filling images a serving task minds depends on its image, and most
-// serving images mind either the same filling ones or quite others. A filling
-// task has to be borne by all serving tasks beside it. So a worker on which two
-// kinds of images stand together bears only what both bear, and the filling
-// images that most serving ones mind are left with few workers or none.
+// A serving image is sensitive to some filling images, and two serving images are
+// mostly sensitive either to the same filling images or to quite different ones. All
+// serving tasks of a worker have to tolerate a filling task there. So a worker with two
+// kinds of serving images takes only the filling images that both kinds tolerate, and the
+// filling images that disturb most serving images are left with few workers or none.
 //
-// How much that matters depends on what filling tasks want to run: each filling
-// image has a price, its demand over what it could use of all workers.
+// The cost depends on the demand: each filling image has a price, its demand divided by
+// the capacity that it could use on all workers.
 package colocation
 
 import (
@@ -28,22 +28,22 @@
 	"strings"
 )
 
-// Bounds of what a filling image can use of a worker.
+// Bounds of the share of a worker that a filling image can use, and of its price.
 const (
-	usualSlack  = 1.5  // of a serving task in the mean of its load, above what has to be left to it
-	leastWeight = 0.1  // below it a filling image can use any worker whole
-	wholeWorker = 1.0  // the most that it can use
-	mostPrice   = 3.0  // of an image that hardly any worker bears
-	leastUsable = 0.1  // workers; keeps the price of an image that none bears finite
-	sameKind    = 0.05 // loss, in workers, below which two images mind the same filling ones
+	typicalSlack = 1.5  // slack of a serving task at its mean load, above the slack that must be left
+	minWeight    = 0.1  // lower bound of a weight, at which a filling image can use the whole worker
+	wholeWorker  = 1.0  // upper bound of the usable share
+	maxPrice     = 3.0  // price of an image that hardly any worker tolerates
+	minUsable    = 0.1  // workers; keeps the price finite for an image that no worker tolerates
+	sameKindLoss = 0.05 // loss in workers below which two images are sensitive to the same filling images
 )
 
-// Plan knows how scarce the workers are that bear each filling image.
+// Plan holds the demand of each filling image and the capacity that it can use.
 type Plan struct {
 	weight func(served, fill string) float64
 	fills  []string
-	demand []float64 // processors wanted, in workers
-	usable []float64 // processors that could be used, in workers
+	demand []float64 // requested processors, in workers
+	usable []float64 // usable processors, in workers
 	sets   map[string]*Set
 }
 
@@ -59,23 +59,23 @@
 	return p
 }
 
-// price is how much a filling image's processors are in demand.
+// price returns a filling image's demand divided by its usable processors.
 func (p *Plan) price(i int) float64 {
-	return min(mostPrice, p.demand[i]/max(p.usable[i], leastUsable))
+	return min(maxPrice, p.demand[i]/max(p.usable[i], minUsable))
 }
 
-// Set is the images of the serving tasks on a worker. Workers with the same
-// images share it. It remembers what it was asked, so that all workers are to
-// be counted before the first question.
+// Set holds the images of the serving tasks on a worker. Workers with the same images
+// share a Set. It caches its results, so all workers must be counted before the first
+// call of Loss, Cost or Spoiled.
 type Set struct {
 	plan   *Plan
-	images []string  // in order
-	usable []float64 // of a worker, by each filling image
-	losses map[string]float64
-	costs  map[string]float64 // of a whole worker
+	images []string           // sorted
+	usable []float64          // share of a worker that each filling image can use
+	losses map[string]float64 // cached results of Loss
+	costs  map[string]float64 // cached costs of a whole worker
 }
 
-// Set returns the Set of some images.
+// Set returns the Set of images, which is created on the first call.
 func (p *Plan) Set(images []string) *Set {
 	images = slices.Sorted(slices.Values(images))
 	key := strings.Join(images, "\n")
@@ -86,14 +86,14 @@
 	for i, f := range p.fills {
 		s.usable[i] = wholeWorker
 		for _, image := range images {
-			s.usable[i] = min(s.usable[i], usualSlack/max(leastWeight, p.weight(image, f)))
+			s.usable[i] = min(s.usable[i], typicalSlack/max(minWeight, p.weight(image, f)))
 		}
 	}
 	p.sets[key] = s
 	return s
 }
 
-// Count takes a worker with these images into account; size is in workers of
+// Count adds a worker with these images to the plan's capacity; size is in workers of
 // the usual size.
 func (s *Set) Count(size float64) {
 	for i, u := range s.usable {
@@ -101,23 +101,23 @@
 	}
 }
 
-// Loss returns what a worker with these images loses to filling tasks by
-// another image beside them, in workers of the usual size.
+// Loss returns the capacity that a worker with these images loses for filling tasks
+// when another image is added, in workers of the usual size and weighted by price.
 func (s *Set) Loss(image string) float64 {
 	if slices.Contains(s.images, image) {
 		return 0
 	}
 	loss, ok := s.losses[image]
 	if !ok {
-		loss = s.above(s.plan.Set(append(slices.Clone(s.images), image)))
+		loss = s.usableAbove(s.plan.Set(append(slices.Clone(s.images), image)))
 		s.losses[image] = loss
 	}
 	return loss
 }
 
-// above returns what filling tasks can use beside this set and can't beside
-// another one, weighed by how much it is in demand.
-func (s *Set) above(other *Set) float64 {
+// usableAbove returns the difference between the capacity that filling tasks can use beside
+// this set and beside another one, weighted by price.
+func (s *Set) usableAbove(other *Set) float64 {
 	total := 0.0
 	for i := range s.usable {
 		total += s.plan.price(i) * (s.usable[i] - other.usable[i])
@@ -125,32 +125,31 @@
 	return total
 }
 
-// Cost returns what a filling task that uses a share of a worker takes from
-// others: the slack of the serving tasks, at what the best other use of that
-// slack is worth.
+// Cost returns the opportunity cost of a filling task that uses a share of a worker:
+// the slack that it takes from the serving tasks, valued at the best other use of it.
 func (s *Set) Cost(fill string, share float64) float64 {
 	cost, ok := s.costs[fill]
 	if !ok {
-		cost = s.worthBeside(fill) * s.most(fill)
+		cost = s.alternativeValue(fill) * s.maxWeight(fill)
 		s.costs[fill] = cost
 	}
 	return cost * share
 }
 
-// worthBeside returns what a unit of slack is worth to the filling images other
-// than one.
-func (s *Set) worthBeside(fill string) float64 {
+// alternativeValue returns the highest value of a unit of slack to any filling image other
+// than fill.
+func (s *Set) alternativeValue(fill string) float64 {
 	worth := 0.0
 	for i, f := range s.plan.fills {
 		if f != fill {
-			worth = max(worth, s.plan.price(i)*s.usable[i]/usualSlack)
+			worth = max(worth, s.plan.price(i)*s.usable[i]/typicalSlack)
 		}
 	}
 	return worth
 }
 
-// most returns the greatest weight of a filling image on any of the set.
-func (s *Set) most(fill string) float64 {
+// maxWeight returns the largest weight of a filling image on any image of the set.
+func (s *Set) maxWeight(fill string) float64 {
 	most := 0.0
 	for _, image := range s.images {
 		most = max(most, s.plan.weight(image, fill))
@@ -158,12 +157,12 @@
 	return most
 }
 
-// Spoiled returns what a worker would gain by having some of its images leave,
-// for each task that would have to move, and which images these are. Runs is
-// the number of tasks of each image.
+// Spoiled returns the largest gain of moving some of a worker's images away, divided by
+// the number of tasks to move, and these images. Runs is the number of tasks of each
+// image.
 func (s *Set) Spoiled(runs map[string]int) (gain float64, leave []string) {
 	for _, kept := range s.images {
-		staying, leaving := s.parted(kept)
+		staying, leaving := s.splitByKind(kept)
 		moves := 0
 		for _, image := range leaving {
 			moves += runs[image]
@@ -171,19 +170,18 @@
 		if moves == 0 {
 			continue
 		}
-		if g := s.plan.Set(staying).above(s) / float64(moves); g > gain {
+		if g := s.plan.Set(staying).usableAbove(s) / float64(moves); g > gain {
 			gain, leave = g, leaving
 		}
 	}
 	return gain, leave
 }
 
-// parted divides the images into those that cost nothing beside one of them
-// and the others.
-func (s *Set) parted(kept string) (staying, leaving []string) {
+// splitByKind divides the images into those that cost nothing beside kept and the others.
+func (s *Set) splitByKind(kept string) (staying, leaving []string) {
 	alone := s.plan.Set([]string{kept})
 	for _, image := range s.images {
-		if alone.Loss(image) < sameKind {
+		if alone.Loss(image) < sameKindLoss {
 			staying = append(staying, image)
 		} else {
 			leaving = append(leaving, image)
--- a/colocation/colocation_test.go
+++ b/colocation/colocation_test.go
@@ -8,8 +8,8 @@
 	"github.com/dogwoodladder/dogwoodladder/colocation"
 )
 
-// weight tells of two kinds of serving images: a1 and a2 mind rebuilds, b minds
-// scans. Nobody minds copies.
+// weight models two kinds of serving images: a1 and a2 are sensitive to rebuilds, b to
+// scans, and none to copies.
 func weight(served, fill string) float64 {
 	minds := map[string]string{"a1": "rebuild", "a2": "rebuild", "b": "scan"}
 	if minds[served] == fill {
@@ -18,8 +18,9 @@
 	return 1
 }
 
-// site is ten workers, two of which bear rebuilds, which are wanted most.
-func site() *colocation.Plan {
+// newPlan returns a plan of ten workers. Only two of them tolerate rebuilds, which have the
+// highest demand.
+func newPlan() *colocation.Plan {
 	plan := colocation.New(weight, map[string]float64{"rebuild": 4, "scan": 0.5, "copy": 1})
 	for _, images := range [][]string{{"a1"}, {"a1"}, {"a2"}, {"a1", "a2"}, {"a2"}, {"a1"}, {"a2"}, {"a1"}, {"b"}, {"b"}} {
 		plan.Set(images).Count(1)
@@ -45,7 +46,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			loss := site().Set(test.beside).Loss(test.image)
+			loss := newPlan().Set(test.beside).Loss(test.image)
 			is.True(loss >= test.least)
 			is.True(loss <= test.most)
 		})
@@ -54,12 +55,12 @@
 
 func TestCost(t *testing.T) {
 	is := is.New(t)
-	plan := site()
+	plan := newPlan()
 	scarce := plan.Set([]string{"b"})
 	common := plan.Set([]string{"a1"})
-	is.Equal(plan.Set(nil).Cost("copy", 0.1), 0.0)                       // nobody's slack is used
-	is.True(scarce.Cost("copy", 0.1) > 3*common.Cost("copy", 0.1))       // slack that rebuilds want
-	is.True(scarce.Cost("rebuild", 0.1) < 2*common.Cost("rebuild", 0.1)) // little else wants either
+	is.Equal(plan.Set(nil).Cost("copy", 0.1), 0.0)                       // no serving task loses slack
+	is.True(scarce.Cost("copy", 0.1) > 3*common.Cost("copy", 0.1))       // rebuilds need that slack
+	is.True(scarce.Cost("rebuild", 0.1) < 2*common.Cost("rebuild", 0.1)) // other images need little of either slack
 }
 
 func TestSpoiled(t *testing.T) {
@@ -75,7 +76,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			plan := site()
+			plan := newPlan()
 			var images []string
 			for image := range test.runs {
 				images = append(images, image)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Without any demand nothing is lost, wherever images stand.
+// TestNoDemand checks that without demand of filling tasks there are no losses or costs.
 func TestNoDemand(t *testing.T) {
 	is := is.New(t)
 	plan := colocation.New(weight, nil)
--- a/placement/offer.go
+++ b/placement/offer.go
@@ -2,8 +2,8 @@
 
 import "github.com/dogwoodladder/dogwoodladder/resource"
 
-// Offer returns what a worker has room for before the task is known. A
-// selection that goes by it chooses few tasks that Choose then lets wait.
+// Offer returns the free capacity of a worker for batch tasks before the task is known.
+// A selection based on it picks few tasks that Choose then leaves waiting.
 func (p *Planner) Offer(c Candidate) resource.Vector {
 	if !p.Open(c) {
 		return resource.Vector{}
@@ -15,7 +15,7 @@
 	return free
 }
 
-// Open reports whether a worker may take batch tasks at all, had it room.
+// Open reports whether a worker may take batch tasks, apart from its free capacity.
 func (p *Planner) Open(c Candidate) bool {
 	if c.Quarantined {
 		return false
--- a/placement/options.go
+++ b/placement/options.go
@@ -1,11 +1,11 @@
 package placement
 
 const (
-	harmless     = 1.005 // a slowdown by less is none
-	workerSpread = 4     // a replica on the same worker against one in the rack
-	silentCost   = 1
+	harmlessFactor   = 1.005 // factor of additional slowdown that is ignored
+	sameWorkerFactor = 4     // cost of a replica on the same worker, in replicas in the rack
+	silentCost       = 1
 
-	blockedAccelerators = 0.5 // cost of a task without use for the accelerators beside it
+	idleAcceleratorsCost = 0.5 // cost of a task without accelerators on a worker with free ones
 )
 
 // Option sets one option of a Planner.
@@ -37,8 +37,7 @@
 	return func(o *options) { o.tailLimit = ratio }
 }
 
-// WithTailWeight sets the cost of slowing a service by its whole latency
-// (default 10).
+// WithTailWeight sets the cost of doubling a service's latency (default 10).
 func WithTailWeight(cost float64) Option {
 	return func(o *options) { o.tailWeight = cost }
 }
@@ -49,7 +48,7 @@
 	return func(o *options) { o.spreadWeight = cost }
 }
 
-// WithFitWeight sets the cost of room left over (default 1).
+// WithFitWeight sets the cost of free capacity that is left (default 1).
 func WithFitWeight(cost float64) Option {
 	return func(o *options) { o.fitWeight = cost }
 }
@@ -60,7 +59,7 @@
 	return func(o *options) { o.headroom = share }
 }
 
-// WithMoveGain sets by how much the cost must fall for a running task to move
+// WithMoveGain sets the minimum decrease of the cost for which a running task moves
 // (default 0.2).
 func WithMoveGain(cost float64) Option {
 	return func(o *options) { o.moveGain = cost }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -8,14 +8,14 @@
 //		// no worker fits, or each would slow a service too much: the task waits
 //	}
 //
-// A candidate must hold the need. Batch tasks leave a share of the processors
-// free beside services, stay off workers whose reports stopped, and wait
-// rather than push a service above the tail limit. Among the rest the lowest
-// cost wins: slowdown of services, replicas of the same service in the rack
-// and on the worker, a lopsided rest that fits nothing, and free room that a
-// large request could have used. A task that runs already stays unless the
-// gain is worth the move. Ties go by name, so the same input gives the same
-// answer. A Planner keeps no state between calls.
+// A candidate must have free capacity for the task's need. Beside services, batch tasks
+// leave a share of the processors free, aren't placed on workers whose reports stopped,
+// and wait rather than push a service above the tail limit. Among the remaining
+// candidates the lowest cost wins. The cost counts the slowdown of services, replicas of
+// the same service in the rack and on the worker, an imbalance of free processors and
+// memory that strands capacity, and free capacity that a large request could have used.
+// A running task stays unless the gain is worth the move. Ties are broken by name, so
+// that the result is deterministic. A Planner keeps no state between calls.
 package placement
 
 import (
@@ -25,17 +25,17 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Task is a task that wants a worker.
+// Task is a task to be placed.
 type Task struct {
 	ID      string
 	Class   string
 	Kind    provider.TaskKind
 	Need    resource.Vector
-	Current string // the worker it runs on, empty for a new task
+	Current string // worker of a running task, empty for a new one
 }
 
-// Candidate is a worker as the task would find it. Slowdown and Confidence
-// are for the task added; the other figures are without it.
+// Candidate is the state of a worker. Slowdown and Confidence are predictions with the
+// task placed there; the other fields are without it.
 type Candidate struct {
 	Worker      string
 	Rack        string
@@ -44,14 +44,14 @@
 	Services    int     // replicas of any service on the worker
 	SameWorker  int     // replicas of the task's service on the worker
 	SameRack    int     // replicas of the task's service in the rack
-	Slowdown    float64 // worst level of a service there, 1 for none
-	Now         float64 // worst level there without the task
+	Slowdown    float64 // predicted worst slowdown of a service on the worker, 1 for none
+	Now         float64 // current worst slowdown, without the task
 	Confidence  float64 // in Slowdown, from 0 to 1
-	Silent      bool    // its reports stopped
-	Quarantined bool    // it fails what it starts
+	Silent      bool    // the worker's reports stopped
+	Quarantined bool    // tasks fail to start on the worker
 }
 
-// Planner weighs workers.
+// Planner compares workers by their cost for a task.
 type Planner struct {
 	options
 }
@@ -65,8 +65,8 @@
 	return p
 }
 
-// Choose returns the best worker for a task, and false when none will do: a
-// new task then waits, a running one stays.
+// Choose returns the best worker for a task, and false when no candidate is admissible:
+// a new task then waits, a running one stays.
 func (p *Planner) Choose(_ time.Time, t Task, candidates []Candidate) (worker string, ok bool) {
 	var best, current *Candidate
 	bestCost, currentCost := 0.0, 0.0
@@ -92,11 +92,11 @@
 	return best.Worker, true
 }
 
-// admits reports whether a worker may take the task at all.
+// admits reports whether a worker may take the task.
 //
-// What goes wrong: a worker whose reports stopped shows its last, good
-// figures, and every waiting task goes there. One would notice services on
-// silent workers drown. Such a worker takes no batch task beside services.
+// A worker whose reports stopped takes no batch task beside services. Its last figures
+// may look good while they are stale; otherwise all waiting tasks would be placed there
+// and overload its services.
 func (p *Planner) admits(t Task, c *Candidate) bool {
 	if c.Quarantined || !t.Need.Fits(c.Free) {
 		return false
@@ -111,27 +111,27 @@
 	if float64(rest.Processors) < p.headroom*float64(c.Capacity.Processors) {
 		return false
 	}
-	return c.Slowdown <= p.tailLimit || c.Slowdown <= c.Now*harmless
+	return c.Slowdown <= p.tailLimit || c.Slowdown <= c.Now*harmlessFactor
 }
 
-// Cost returns what placing a task on a worker costs; the lower the better.
+// Cost returns the cost of placing a task on a worker; lower is better.
 func (p *Planner) Cost(t Task, c Candidate) float64 {
 	rest := c.Free.Sub(t.Need)
 	cost := p.tailWeight * max(c.Slowdown-max(c.Now, 1), 0)
-	cost += p.spreadWeight * (float64(c.SameRack) + workerSpread*float64(c.SameWorker))
-	cost += p.fitWeight * (stranded(rest, c.Capacity) + rest.Dominant(c.Capacity))
+	cost += p.spreadWeight * (float64(c.SameRack) + sameWorkerFactor*float64(c.SameWorker))
+	cost += p.fitWeight * (strandedShare(rest, c.Capacity) + rest.Dominant(c.Capacity))
 	if c.Silent {
 		cost += silentCost
 	}
 	if t.Need.Accelerators == 0 && c.Free.Accelerators > 0 {
-		cost += p.fitWeight * blockedAccelerators
+		cost += p.fitWeight * idleAcceleratorsCost
 	}
 	return cost
 }
 
-// stranded is how unequal the free shares of processors and memory are: the
-// surplus of one is of no use without the other.
-func stranded(rest, capacity resource.Vector) float64 {
+// strandedShare returns the difference between the free shares of processors and memory. The
+// surplus of one can't be used without the other.
+func strandedShare(rest, capacity resource.Vector) float64 {
 	processors := resource.Vector{Processors: rest.Processors}.Dominant(capacity)
 	memory := resource.Vector{Memory: rest.Memory}.Dominant(capacity)
 	return max(processors-memory, memory-processors)
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -17,7 +17,7 @@
 	return resource.Vector{Processors: n * 1000, Memory: n * 4000}
 }
 
-// worker is a candidate without services, with so many cores free.
+// worker returns a candidate without services and with a number of free cores.
 func worker(name string, free int64, change ...func(c *placement.Candidate)) placement.Candidate {
 	c := placement.Candidate{Worker: name, Rack: "a", Capacity: capacity, Free: cores(free), Slowdown: 1, Now: 1, Confidence: 1}
 	for _, f := range change {
--- a/pressure/pressure_test.go
+++ b/pressure/pressure_test.go
@@ -17,16 +17,16 @@
 	idle   = 10 * time.Millisecond
 )
 
-// world gives tails as a queue does: the idle tail divided by the share of
-// time that isn't taken by the load or by filling tasks.
-type world struct {
+// simulation simulates tails of a queue: the idle tail divided by the share of time that
+// neither the users' load nor filling tasks take.
+type simulation struct {
 	weights map[[2]string]float64
 	period  float64 // of the load, in seconds
 	rng     *rand.Rand
 }
 
-func newWorld() *world {
-	w := &world{weights: make(map[[2]string]float64), period: 14, rng: rand.New(rand.NewPCG(3, 4))}
+func newSimulation() *simulation {
+	w := &simulation{weights: make(map[[2]string]float64), period: 14, rng: rand.New(rand.NewPCG(3, 4))}
 	for _, s := range []string{"s0", "s1", "s2"} {
 		for _, f := range []string{"f0", "f1", "f2", "f3"} {
 			w.weights[[2]string{s, f}] = 0.4
@@ -38,7 +38,7 @@
 	return w
 }
 
-func (w *world) tail(served string, at time.Duration, fills []pressure.Fill) time.Duration {
+func (w *simulation) tail(served string, at time.Duration, fills []pressure.Fill) time.Duration {
 	busy := w.load(served, at)
 	for _, f := range fills {
 		busy += w.weights[[2]string{served, f.Image}] * f.Share
@@ -47,22 +47,22 @@
 	return time.Duration(float64(idle) / free)
 }
 
-// calm returns a tail without filling tasks and noise.
-func (w *world) calm(served string, at time.Duration) time.Duration {
+// noiselessTail returns a tail without filling tasks and noise.
+func (w *simulation) noiselessTail(served string, at time.Duration) time.Duration {
 	return time.Duration(float64(idle) / (1 - w.load(served, at)))
 }
 
 // load is the share of time that a serving task's users take.
-func (w *world) load(served string, at time.Duration) float64 {
+func (w *simulation) load(served string, at time.Duration) float64 {
 	return 0.45 * (1 + 0.5*math.Sin(at.Seconds()*2*math.Pi/w.period+float64(len(served)+int(served[1]))))
 }
 
-// Symptom: filling tasks that do no harm are kept off a worker, and those that
-// do are let on. Sequence: several run together, so that a tail alone doesn't
-// say which of them is the cause. Cause: the blame was shared by size.
-func TestWeightsAreTold(t *testing.T) {
+// Guards against harmless filling tasks kept off a worker and harmful ones admitted.
+// Several run together, so that a single tail doesn't tell which one is the cause, and
+// attribution by size is wrong.
+func TestWeightsAreSeparated(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	e := pressure.New()
 	images := []string{"f0", "f1", "f2", "f3"}
 	for step := range 4000 {
@@ -122,24 +122,23 @@
 	is.True(loaded.Load([]byte{0xff}) != nil)
 }
 
-// Symptom: a serving task is over its target each time the load of its users
-// rises, though it was far below it when a filling task began beside it.
-// Sequence: the load swings over some seconds; the slack is taken for what it was
-// at the last reading, or for what a slower swing would make of it. Cause: only
-// the level was followed, or slopes were bounded by those of one site.
-func TestSlackIsForetold(t *testing.T) {
+// Guards against a serving task that exceeds its target whenever the load of its users
+// rises, although its slack was large when a filling task started beside it. The load
+// oscillates within seconds, so that the slack must be predicted with a slope, whose
+// bound must also fit fast oscillations.
+func TestSlackIsPredicted(t *testing.T) {
 	tests := []struct {
 		period float64 // of the swing, in seconds
-		mean   float64 // most error on average
+		mean   float64 // bound of the mean error
 	}{
-		{5, 0.68},  // 0.70 by the level alone, 1.22 with slopes bounded by those of 14 s
-		{14, 0.17}, // 0.28, 0.19
-		{40, 0.14}, // 0.10, 0.07: that slow, the level alone would do
+		{5, 0.68},  // error without a slope: 0.70; with slopes bounded by those of 14 s: 1.22
+		{14, 0.17}, // 0.28 and 0.19
+		{40, 0.14}, // 0.10 and 0.07: at this period no slope is needed
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.period), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld()
+			w := newSimulation()
 			w.period = test.period
 			e := pressure.New()
 			sum, n := 0.0, 0
@@ -150,8 +149,8 @@
 				if step < 20 {
 					continue // the first swing
 				}
-				// Spare is what is left at the target in a moment.
-				next := float64(target) / float64(w.calm("s0", at+700*time.Millisecond))
+				// Spare is the predicted slack minus the slack that must be left.
+				next := float64(target) / float64(w.noiselessTail("s0", at+700*time.Millisecond))
 				sum += math.Abs(e.Spare([]pressure.Served{report})[0] + 1.1 - next)
 				n++
 			}
@@ -161,23 +160,22 @@
 	}
 }
 
-// Symptom: filling tasks are kept off serving ones that have slack.
-// Sequence: a heavy filling task ends, and a tail is read before the time has
-// passed that tails are measured over. Cause: the tail was put down to the load
-// of the users, as nothing that would explain it runs any more.
-func TestReadingsTellOfTheirWindow(t *testing.T) {
+// Guards against filling tasks kept off serving ones that have slack. A heavy filling
+// task ends, and the next tail still covers some of its run. Without its mean share
+// over the window, the tail would be attributed to the load of the users.
+func TestSharesAreWindowMeans(t *testing.T) {
 	is := is.New(t)
-	minded, taken := foretoldBesideHeavy(true), foretoldBesideHeavy(false)
-	t.Logf("wrong by %.2f on average, %.2f where readings are taken for the moment", minded, taken)
-	is.True(minded < 0.3)
-	is.True(minded < 0.85*taken)
+	meanError, momentError := predictionErrorBesideHeavy(true), predictionErrorBesideHeavy(false)
+	t.Logf("wrong by %.2f on average, %.2f where readings are taken for the moment", meanError, momentError)
+	is.True(meanError < 0.3)
+	is.True(meanError < 0.85*momentError)
 }
 
-// foretoldBesideHeavy returns by how much a slack is foretold wrong on average
-// while a heavy filling task comes and goes every two seconds. Minded says that
-// readings are told of as the means that they are.
-func foretoldBesideHeavy(minded bool) float64 {
-	w := newWorld()
+// predictionErrorBesideHeavy returns the mean error of predicted slacks while a heavy filling
+// task starts and ends every two seconds. With windowMeans, shares are passed as means
+// over the window of a reading, otherwise as of the moment.
+func predictionErrorBesideHeavy(windowMeans bool) float64 {
+	w := newSimulation()
 	w.weights[[2]string{"s0", "f0"}] = 2.0 // a tenth of the worker takes a slack of 1
 	e := pressure.New()
 	sum, n := 0.0, 0
@@ -192,17 +190,17 @@
 		if since < 2 {
 			mean.Moved = 0.1
 		}
-		told := mean
-		if !minded {
-			told = pressure.Fill{Image: "f0"}
+		fill := mean
+		if !windowMeans {
+			fill = pressure.Fill{Image: "f0"}
 			if on {
-				told.Share = 0.1
+				fill.Share = 0.1
 			}
 		}
 		report := pressure.Served{Job: "j", Image: "s0", Target: target, Tail: w.tail("s0", at, []pressure.Fill{mean})}
-		e.Observe(at, []pressure.Served{report}, []pressure.Fill{told})
+		e.Observe(at, []pressure.Served{report}, []pressure.Fill{fill})
 		if step > 100 {
-			next := float64(target) / float64(w.calm("s0", at+700*time.Millisecond))
+			next := float64(target) / float64(w.noiselessTail("s0", at+700*time.Millisecond))
 			sum += math.Abs(e.Spare([]pressure.Served{report})[0] + 1.1 - next)
 			n++
 		}
