--- a/interference/benchmark_test.go
+++ b/interference/benchmark_test.go
@@ -13,13 +13,13 @@
 // BenchmarkObserve measures a service's report with 12 tasks beside it, from
 // 64 classes in all.
 func BenchmarkObserve(b *testing.B) {
-	w := newWorld()
+	w := newSimulation()
 	for i := range 16 {
 		var classes []string
 		for j := range 12 {
 			classes = append(classes, fmt.Sprint("job", (i*12+j)%64))
 		}
-		w.settle(fmt.Sprint("w", i), classes...)
+		w.placeReplica(fmt.Sprint("w", i), classes...)
 	}
 	i := 0
 	for b.Loop() {
@@ -32,8 +32,8 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that 2500 services and 8300 batch tasks
-// of 400 classes on 1100 workers leave behind.
+// BenchmarkMemory measures the heap for 2500 services and 8300 batch tasks
+// of 400 classes on 1100 workers.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		runtime.GC()
--- a/interference/bound.go
+++ b/interference/bound.go
@@ -8,22 +8,21 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// pairsKept is the share of the pairs that stay when too many are held.
-const pairsKept = 7.0 / 8
+// evictionTarget is the share of the maximum number of pairs that remains after an eviction.
+const evictionTarget = 7.0 / 8
 
 func (e *Estimator) victim(now time.Time, class string) *victim {
 	v := e.victims[class]
 	if v == nil {
-		e.shedVictim()
-		v = &victim{pairs: map[string]*pair{}, noise: startNoise, updated: now}
+		e.evictVictim()
+		v = &victim{pairs: map[string]*pair{}, noise: initialNoise, updated: now}
 		e.victims[class] = v
 	}
 	return v
 }
 
-// shedVictim makes room for a service by dropping the one without news for
-// the longest.
-func (e *Estimator) shedVictim() {
+// evictVictim evicts the least recently updated service if the maximum number is reached.
+func (e *Estimator) evictVictim() {
 	if len(e.victims) < e.maxServices {
 		return
 	}
@@ -35,12 +34,12 @@
 		}
 	}
 	for class := range e.victims[oldest].pairs {
-		e.drop(oldest, class)
+		e.removePair(oldest, class)
 	}
 	delete(e.victims, oldest)
 }
 
-// pairKey names a pair for sorting by age.
+// pairKey identifies a pair, with its last update to sort by.
 type pairKey struct {
 	victim, culprit string
 	updated         time.Time
@@ -54,11 +53,11 @@
 	)
 }
 
-// shed drops the pairs without news for the longest when a service has too
-// many, or all services together.
-func (e *Estimator) shed(class string) {
+// evictPairs evicts the least recently updated pairs when a service has too many, or all
+// services together.
+func (e *Estimator) evictPairs(class string) {
 	if v := e.victims[class]; len(v.pairs) > e.maxCulprits {
-		e.dropOldest(pairKeys(nil, class, v), e.maxCulprits)
+		e.evictOldest(pairKeys(nil, class, v), e.maxCulprits)
 	}
 	if e.pairs <= e.maxPairs {
 		return
@@ -67,7 +66,7 @@
 	for name, v := range e.victims {
 		keys = pairKeys(keys, name, v)
 	}
-	e.dropOldest(keys, e.maxPairs)
+	e.evictOldest(keys, e.maxPairs)
 }
 
 func pairKeys(keys []pairKey, name string, v *victim) []pairKey {
@@ -77,34 +76,34 @@
 	return keys
 }
 
-func (e *Estimator) dropOldest(keys []pairKey, most int) {
+func (e *Estimator) evictOldest(keys []pairKey, most int) {
 	slices.SortFunc(keys, byAge)
-	keep := int(float64(most) * pairsKept)
+	keep := int(float64(most) * evictionTarget)
 	for _, k := range keys[:len(keys)-keep] {
-		e.drop(k.victim, k.culprit)
+		e.removePair(k.victim, k.culprit)
 	}
 }
 
-// drop forgets a pair.
-func (e *Estimator) drop(victim, class string) {
+// removePair removes a pair and its part of the pooled sums.
+func (e *Estimator) removePair(victim, class string) {
 	v, c := e.victims[victim], e.culprits[class]
 	p := v.pairs[class]
 	delete(v.pairs, class)
-	v.forget(p.index)
+	v.removeCoefficient(p.index)
 	e.pairs--
 	c.pairs--
-	c.margin.add(-p.weight, -p.sum)
+	c.pooled.add(-p.weight, -p.sum)
 	if c.kind != provider.KindService {
-		v.margin.add(-p.weight, -p.sum)
+		v.pooled.add(-p.weight, -p.sum)
 	}
 	if c.pairs == 0 {
 		delete(e.culprits, class)
 	}
 }
 
-// forget removes a coefficient and corrects the index of the one that takes
+// removeCoefficient removes a coefficient and updates the index of the one that is moved to
 // its place.
-func (v *victim) forget(index int) {
+func (v *victim) removeCoefficient(index int) {
 	last := len(v.filter.mean) - 1
 	v.filter.remove(index)
 	for _, p := range v.pairs {
--- a/interference/coefficient.go
+++ b/interference/coefficient.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	maxMean        = 3.0  // of a pair: a slowdown by 20
-	minDeviation   = 0.01 // keeps a coefficient able to learn
-	priorWeight    = 2.0  // pairs that the fixed prior counts for when pooling
-	baseDeviation  = 0.7  // of a baseline that was never seen
-	baseDrift      = 0.05 // standard deviation of a baseline's change in one memory
-	startNoise     = 0.04 // variance of a report's logarithm at first
-	minNoise       = 0.0025
-	noiseGain      = 0.02
-	residualMemory = 30 * time.Second // in which a residual without news falls to a third
+	maxMean           = 3.0  // of a pair: a slowdown by a factor of 20
+	minDeviation      = 0.01 // keeps a coefficient able to learn
+	priorWeight       = 2.0  // weight of the fixed prior in pooling, in pairs
+	baselineDeviation = 0.7  // prior standard deviation of a baseline
+	baselineDrift     = 0.05 // standard deviation of a baseline's change within the memory
+	initialNoise      = 0.04 // initial variance of a report's logarithm
+	minNoise          = 0.0025
+	noiseGain         = 0.02
+	residualMemory    = 30 * time.Second // time constant by which a residual decays without reports
 
 	residualDrift = 0.0004 // variance that a replica's residual gains with each report
 )
@@ -36,102 +36,103 @@
 	return min(max(1-c.variance/(deviation*deviation), 0), 1)
 }
 
-// victim is what is known of a service: its baselines by request rate and
-// its pairs by the culprit's class, all in one filter.
+// victim is the model of a service: its baselines by request rate and its pairs
+// by the culprit's class, all in one filter.
 type victim struct {
 	filter  filter
-	knots   [knots]int // one more than the index, zero when unseen
+	knots   [numKnots]int // index in the filter plus one, zero for an unseen knot
 	pairs   map[string]*pair
 	noise   float64
-	margin  margin
+	pooled  weightedSum
 	updated time.Time
 }
 
-// culprit pools the pairs that have one culprit.
+// culprit pools the pairs of one culprit class.
 type culprit struct {
 	kind   provider.TaskKind
 	pairs  int
-	margin margin
+	pooled weightedSum
 }
 
-// pair is where a culprit's class stands in a victim's filter. It remembers
-// what it added to the margins.
+// pair locates a culprit's class in a victim's filter. Weight and sum are its current
+// part of the pooled sums.
 type pair struct {
 	index       int
 	updated     time.Time
 	weight, sum float64
 }
 
-// margin is a weighted sum of means over pairs.
-type margin struct {
+// weightedSum is a weighted sum of means over pairs.
+type weightedSum struct {
 	weight, sum float64
 }
 
-func (m *margin) add(weight, sum float64) {
-	m.weight += weight
-	m.sum += sum
+func (s *weightedSum) add(weight, sum float64) {
+	s.weight += weight
+	s.sum += sum
 }
 
-// priorOf returns the mean for an unseen pair: the fixed prior of the kind,
+// priorMean returns the mean for an unseen pair: the fixed prior of the kind,
 // pooled with the known pairs of the same culprit and of the same victim.
-func (e *Estimator) priorOf(v *victim, class string, kind provider.TaskKind) float64 {
+func (e *Estimator) priorMean(v *victim, class string, kind provider.TaskKind) float64 {
 	sum, weight := 0.0, priorWeight
 	if kind != provider.KindService {
 		sum = priorWeight * e.prior
 	}
 	if c := e.culprits[class]; c != nil {
-		sum += c.margin.sum
-		weight += c.margin.weight
+		sum += c.pooled.sum
+		weight += c.pooled.weight
 	}
 	if v != nil && kind != provider.KindService {
-		sum += v.margin.sum
-		weight += v.margin.weight
+		sum += v.pooled.sum
+		weight += v.pooled.weight
 	}
 	return max(sum/weight, 0)
 }
 
-// read returns the coefficient of a pair as of now, seen or not. Without
-// news it returns to the prior.
+// coefficient returns the coefficient of a pair at now, also of an unseen pair. Without
+// reports it returns to the prior.
 //
-// What goes wrong: load shifts and a pair's slowdown changes, but a variance
-// that only shrinks makes the estimate deaf to it. One would notice that the
-// residuals of a class stay one-sided for long. Variance grows with time, so
-// later reports weigh more.
-func (e *Estimator) read(now time.Time, v *victim, class string, kind provider.TaskKind) coefficient {
-	prior := e.priorOf(v, class, kind)
+// The variance grows with time, so that newer reports weigh more. If it only shrank,
+// the estimate couldn't follow a change of a pair's slowdown, and the residuals of the
+// class would stay one-sided for long.
+func (e *Estimator) coefficient(now time.Time, v *victim, class string, kind provider.TaskKind) coefficient {
+	prior := e.priorMean(v, class, kind)
 	limit := e.deviation * e.deviation
 	if v == nil || v.pairs[class] == nil {
 		return coefficient{prior, limit}
 	}
 	p := v.pairs[class]
 	keep := math.Exp(-max(now.Sub(p.updated).Seconds(), 0) / e.memory.Seconds())
-	variance := v.filter.covariance[p.index][p.index] + e.growth(limit, now.Sub(v.updated))
+	variance := v.filter.covariance[p.index][p.index] + e.driftVariance(limit, now.Sub(v.updated))
 	return coefficient{prior + keep*(v.filter.mean[p.index]-prior), min(variance, limit)}
 }
 
-// growth is the variance that a coefficient gains over a time.
-func (e *Estimator) growth(limit float64, over time.Duration) float64 {
+// driftVariance returns the variance that a coefficient gains over a time.
+func (e *Estimator) driftVariance(limit float64, over time.Duration) float64 {
 	return limit * max(over.Seconds(), 0) / e.memory.Seconds()
 }
 
-// loosen lets all coefficients of a victim drift up to now.
-func (e *Estimator) loosen(now time.Time, v *victim) {
+// addDrift adds the drift variance since the last update to the variances of all coefficients of a
+// victim.
+func (e *Estimator) addDrift(now time.Time, v *victim) {
 	over := now.Sub(v.updated)
 	for _, p := range v.pairs {
 		limit := e.deviation * e.deviation
-		v.filter.loosen(p.index, e.growth(limit, over), limit)
+		v.filter.inflate(p.index, e.driftVariance(limit, over), limit)
 	}
 	for _, k := range v.knots {
 		if k > 0 {
-			v.filter.loosen(k-1, e.growth(baseDrift*baseDrift, over), baseDeviation*baseDeviation)
+			v.filter.inflate(k-1, e.driftVariance(baselineDrift*baselineDrift, over), baselineDeviation*baselineDeviation)
 		}
 	}
 	v.updated = now
 }
 
-// pair returns the kept pair, made from the prior when it is new.
+// pair returns the pair of a victim and a culprit, which it creates from the prior when
+// it is new.
 func (e *Estimator) pair(now time.Time, v *victim, x exposure) *pair {
-	c := e.read(now, v, x.class, x.kind)
+	c := e.coefficient(now, v, x.class, x.kind)
 	if p := v.pairs[x.class]; p != nil {
 		v.filter.mean[p.index] = c.mean
 		p.updated = now
@@ -153,16 +154,16 @@
 	return c
 }
 
-// pool brings the margins up to date with a changed pair.
-func (e *Estimator) pool(v *victim, class string) {
+// updatePooled updates the pooled sums after a change of a pair.
+func (e *Estimator) updatePooled(v *victim, class string) {
 	p := v.pairs[class]
 	known := coefficient{v.filter.mean[p.index], v.filter.covariance[p.index][p.index]}
 	weight := known.confidence(e.deviation)
 	sum := weight * known.mean
 	c := e.culprits[class]
-	c.margin.add(weight-p.weight, sum-p.sum)
+	c.pooled.add(weight-p.weight, sum-p.sum)
 	if c.kind != provider.KindService {
-		v.margin.add(weight-p.weight, sum-p.sum)
+		v.pooled.add(weight-p.weight, sum-p.sum)
 	}
 	p.weight, p.sum = weight, sum
 }
--- a/interference/estimator.go
+++ b/interference/estimator.go
@@ -1,5 +1,5 @@
-// Package interference estimates how much tasks on one worker slow each
-// other down, from usage reports that arrive late.
+// Package interference estimates how much tasks on one worker slow down each
+// other, from usage reports that may arrive late.
 //
 // Usage:
 //
@@ -10,21 +10,22 @@
 //		worst = max(worst, v.Level)
 //	}
 //
-// Tasks are told apart by class: the group and job of a batch task, the name
+// Tasks are grouped by class: the group and job of a batch task, the name
 // of a service. The logarithm of a service's latency is modelled as a baseline
 // that depends on the request rate, plus one coefficient for each class beside
-// it, weighted by how long and how much a task of that class ran during the
-// measured interval. Each coefficient has a mean and a variance and is updated
-// by a Kalman step with a diagonal covariance and a clipped innovation. Unseen
-// pairs take a prior pooled from the pairs of the same culprit and of the same
-// victim. Without new evidence a coefficient returns to that prior.
+// it, weighted by how long and how fast tasks of that class ran during the
+// measured interval. The coefficients of a service are updated by one Kalman filter
+// with a full covariance and a clipped innovation. Unseen pairs take a prior pooled
+// from the pairs of the same culprit and of the same victim. Without new reports a
+// coefficient returns to that prior.
 //
-// The caller tells the estimator when a task starts, changes its throttle and
-// ends. A worker's history is kept for the lag bound, so that a report counts
-// against the tasks that ran when it was measured.
+// The caller reports when a task starts, ends or is throttled. A worker's history is
+// kept for the lag bound, so that a report is attributed to the tasks that ran when it
+// was measured.
 //
 // State is bounded: pairs by WithMaxPairs, services by WithMaxServices, and
-// the history of each worker by WithMaxSpans and the lag bound. An Estimator isn't safe for concurrent use.
+// the history of each worker by WithMaxSpans and the lag bound. An Estimator isn't safe
+// for concurrent use.
 package interference
 
 import (
@@ -33,7 +34,7 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Task is what the estimator needs to know of a task.
+// Task describes a task to the estimator.
 type Task struct {
 	ID    string
 	Class string // group and job of a batch task, name of a service
@@ -43,15 +44,15 @@
 // Estimator learns pairwise slowdowns.
 type Estimator struct {
 	options
-	workers  map[string]*worker
-	victims  map[string]*victim
-	culprits map[string]*culprit
-	pairs    int
-	counts   [outcomes]uint64
-	swept    time.Time
+	workers   map[string]*worker
+	victims   map[string]*victim
+	culprits  map[string]*culprit
+	pairs     int
+	counts    [outcomes]uint64
+	lastSweep time.Time
 }
 
-// New returns an Estimator that knows nothing but its priors.
+// New returns an Estimator without reports.
 func New(opts ...Option) *Estimator {
 	e := &Estimator{
 		options:  defaults(),
@@ -65,8 +66,8 @@
 	return e
 }
 
-// Placed notes that a task started on a worker. A task that already runs
-// there is left as it is.
+// Placed records that a task started on a worker. It does nothing if the task runs there
+// already.
 func (e *Estimator) Placed(at time.Time, worker string, t Task) {
 	e.sweep(at)
 	w := e.worker(at, worker)
@@ -74,7 +75,7 @@
 	w.prune(at.Add(-e.lagBound), e.maxSpans)
 }
 
-// Removed notes that a task ended on a worker.
+// Removed records that a task ended on a worker.
 func (e *Estimator) Removed(at time.Time, worker, task string) {
 	w := e.workers[worker]
 	if w == nil {
@@ -84,7 +85,7 @@
 	w.prune(at.Add(-e.lagBound), e.maxSpans)
 }
 
-// Throttled notes that a task runs at percent of its full speed from now on.
+// Throttled records that a task runs at percent of its full speed from a time on.
 func (e *Estimator) Throttled(at time.Time, worker, task string, percent int) {
 	w := e.workers[worker]
 	if w == nil {
@@ -97,39 +98,39 @@
 // Slowdown returns by what factor a task of class culprit raises the latency
 // of a task of class victim, and the confidence in it from 0 to 1.
 func (e *Estimator) Slowdown(now time.Time, victim, culprit string) (ratio, confidence float64) {
-	c := e.read(now, e.victims[victim], culprit, e.kindOf(culprit))
+	c := e.coefficient(now, e.victims[victim], culprit, e.kindOf(culprit))
 	return c.ratio(), c.confidence(e.deviation)
 }
 
 // Silent reports whether a worker that has tasks sent no report measured
-// within the silence bound. Its figures are old then, and a caller should be
-// careful with it: neither add work beside services nor act on old evidence.
+// within the silence timeout. Its figures are stale then: callers should neither add
+// work beside its services nor act on its reports.
 func (e *Estimator) Silent(now time.Time, worker string) bool {
 	w := e.workers[worker]
 	if w == nil || !w.busy() {
 		return false
 	}
-	return now.Sub(w.heard) > e.silence
+	return now.Sub(w.lastMeasured) > e.silence
 }
 
 func (e *Estimator) worker(at time.Time, name string) *worker {
 	w := e.workers[name]
 	if w == nil {
-		w = &worker{heard: at}
+		w = &worker{lastMeasured: at}
 		e.workers[name] = w
 	}
-	if !w.busy() && at.After(w.heard) {
-		w.heard = at
+	if !w.busy() && at.After(w.lastMeasured) {
+		w.lastMeasured = at
 	}
 	return w
 }
 
-// sweep drops the history of workers that are no longer spoken of.
+// sweep prunes all histories once per lag bound and removes workers with an empty one.
 func (e *Estimator) sweep(now time.Time) {
-	if now.Sub(e.swept) < e.lagBound {
+	if now.Sub(e.lastSweep) < e.lagBound {
 		return
 	}
-	e.swept = now
+	e.lastSweep = now
 	for name, w := range e.workers {
 		w.prune(now.Add(-e.lagBound), e.maxSpans)
 		if len(w.spans) == 0 {
--- a/interference/estimator_test.go
+++ b/interference/estimator_test.go
@@ -18,9 +18,9 @@
 
 const interval = 5 * time.Second
 
-// world feeds an estimator with reports of one service, whose latency is 10
-// ms times the true factors of the tasks beside it.
-type world struct {
+// simulation simulates reports of one service, whose latency is 10 ms times the true
+// factors of the tasks beside it.
+type simulation struct {
 	e      *interference.Estimator
 	now    time.Time
 	random *rand.Rand
@@ -30,8 +30,8 @@
 	beside map[string][]string // running classes by worker
 }
 
-func newWorld(opts ...interference.Option) *world {
-	return &world{
+func newSimulation(opts ...interference.Option) *simulation {
+	return &simulation{
 		e: interference.New(opts...), now: start, load: 500, noise: 0.05,
 		random: rand.New(rand.NewPCG(7, 7)), truth: map[string]float64{}, beside: map[string][]string{},
 	}
@@ -49,8 +49,8 @@
 	return provider.Usage{Task: task, Measured: at, Interval: interval, Latency: latency, Requests: 500}
 }
 
-// settle places one replica and the classes on a worker.
-func (w *world) settle(worker string, classes ...string) {
+// placeReplica places one replica and the classes on a worker.
+func (w *simulation) placeReplica(worker string, classes ...string) {
 	w.e.Placed(w.now, worker, service("r-"+worker))
 	for _, class := range classes {
 		w.e.Placed(w.now, worker, batch(worker+class, class))
@@ -59,7 +59,7 @@
 }
 
 // remove ends a class on a worker.
-func (w *world) remove(worker, class string) {
+func (w *simulation) remove(worker, class string) {
 	w.e.Removed(w.now, worker, worker+class)
 	var rest []string
 	for _, c := range w.beside[worker] {
@@ -70,7 +70,7 @@
 	w.beside[worker] = rest
 }
 
-func (w *world) latency(worker string) time.Duration {
+func (w *simulation) latency(worker string) time.Duration {
 	factor := math.Exp(w.noise * w.random.NormFloat64())
 	for _, class := range w.beside[worker] {
 		if f := w.truth[class]; f > 0 {
@@ -82,7 +82,7 @@
 }
 
 // run lets all workers report for a number of intervals without lag.
-func (w *world) run(intervals int, workers ...string) {
+func (w *simulation) run(intervals int, workers ...string) {
 	for range intervals {
 		w.now = w.now.Add(interval)
 		for _, worker := range workers {
@@ -93,26 +93,24 @@
 	}
 }
 
-func (w *world) slowdown(class string) float64 {
+func (w *simulation) slowdown(class string) float64 {
 	ratio, _ := w.e.Slowdown(w.now, "price", class)
 	return ratio
 }
 
-func near(got, want, by float64) bool { return math.Abs(got-want) <= by }
+func approxEqual(got, want, by float64) bool { return math.Abs(got-want) <= by }
 
-// Symptom: a harmless task placed after a harmful one is throttled.
-// Sequence: loud runs beside the service, leaves, quiet takes its place, then
-// the reports measured before arrive, 30 s late.
-// Cause: attribution to who runs when a report arrives.
+// Guards against the slowdown by a harmful task attributed to a harmless one that took
+// its place, when the reports measured before the change arrive 30 s late.
 func TestLateReportBlamesWhoWasThere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.truth["loud"] = 1.6
-	w.settle("w1", "loud")
-	w.settle("w2")
+	w.placeReplica("w1", "loud")
+	w.placeReplica("w2")
 	w.run(40, "w1", "w2")
 	known := w.slowdown("loud")
-	is.True(near(known, 1.6, 0.1))
+	is.True(approxEqual(known, 1.6, 0.1))
 
 	var late []provider.Usage
 	for range 6 {
@@ -125,19 +123,19 @@
 	for _, u := range late {
 		is.Equal(w.e.Observe(w.now, "w1", u), interference.Used)
 	}
-	is.True(near(w.slowdown("loud"), 1.6, 0.1))
+	is.True(approxEqual(w.slowdown("loud"), 1.6, 0.1))
 	_, confidence := w.e.Slowdown(w.now, "price", "quiet")
 	is.Equal(confidence, 0.0) // no report was measured beside it
 }
 
-// Symptom: tasks that start at the end of a bad interval take blame for it.
-// Sequence: loud runs for 4.5 of 5 seconds and quiet for the rest, each time.
-// Cause: a class counts as there whether it ran for all or a part of it.
+// Guards against a slowdown attributed to tasks that start at the end of an interval:
+// loud runs for 4.5 of 5 seconds and quiet for the rest, so that exposures must count
+// the part of the interval.
 func TestPartOfAnIntervalCountsInPart(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.truth["loud"] = 1.6
-	w.settle("w2")
+	w.placeReplica("w2")
 	for i := range 40 {
 		from := w.now
 		loud, quiet := batch("l"+string(rune('a'+i)), "loud"), batch("q"+string(rune('a'+i)), "quiet")
@@ -155,73 +153,68 @@
 	is.True(w.slowdown("quiet") < 1.15)
 }
 
-// Symptom: all neighbours look harmful at the busy time of day.
-// Sequence: the service's own load doubles while harmless tasks run beside.
-// Cause: its own slowdown is put on the tasks beside it.
+// Guards against harmless neighbours that get a slowdown when the service's own load
+// doubles.
 func TestOwnLoadIsNotBlamedOnNeighbours(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.settle("w1", "quiet")
-	w.settle("w2")
+	w := newSimulation()
+	w.placeReplica("w1", "quiet")
+	w.placeReplica("w2")
 	w.run(40, "w1", "w2")
 	w.load = 1000
 	w.run(40, "w1", "w2")
 	is.True(w.slowdown("quiet") < 1.05)
 }
 
-// Symptom: a service stays slow and none of its neighbours is throttled.
-// Sequence: its load rises to where it never was, and at the same time loud,
-// which runs beside all its replicas, begins to harm.
-// Cause: the new load's baseline is unknown and takes up all of the harm.
+// Guards against a slow service whose neighbours aren't throttled: its load rises to an
+// unseen rate while loud, which runs beside all replicas, becomes harmful, and the
+// baseline of the new rate absorbs all of the slowdown.
 func TestHarmAtAnUnseenLoadIsNotTheServicesOwn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.settle("w1", "loud")
-	w.settle("w2", "loud")
-	w.settle("w3", "loud")
+	w := newSimulation()
+	w.placeReplica("w1", "loud")
+	w.placeReplica("w2", "loud")
+	w.placeReplica("w3", "loud")
 	w.run(200, "w1", "w2", "w3")
 	w.load, w.truth["loud"] = 1000, 1.6
 	w.run(60, "w1", "w2", "w3")
-	is.True(w.slowdown("loud") > 1.1) // the rest can't be told apart while no replica is without it
+	is.True(w.slowdown("loud") > 1.1) // the rest isn't identifiable while it runs beside all replicas
 }
 
-// Symptom: a harmless class that often runs beside a harmful one is throttled.
-// Sequence: both run on one worker, the harmless one alone on another.
-// Cause: the sum is known there, but not who makes it up.
+// Guards against a slowdown attributed to a harmless class that often runs beside a
+// harmful one. The worker where it runs alone must separate the two.
 func TestCompanionIsCleared(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.truth["loud"] = 1.5
-	w.settle("w1", "loud", "quiet")
-	w.settle("w2", "quiet")
-	w.settle("w3")
+	w.placeReplica("w1", "loud", "quiet")
+	w.placeReplica("w2", "quiet")
+	w.placeReplica("w3")
 	w.run(60, "w1", "w2", "w3")
-	is.True(near(w.slowdown("loud"), 1.5, 0.1))
+	is.True(approxEqual(w.slowdown("loud"), 1.5, 0.1))
 	is.True(w.slowdown("quiet") < 1.05)
 }
 
-// Symptom: a throttled task's class seems harmless, and is placed everywhere.
-// Sequence: loud runs at 25% and slows the service by a quarter as much.
-// Cause: its effect is taken for that of a task at full speed.
+// Guards against a harmful class that seems harmless while its task is throttled to 25%:
+// the slowdown must be scaled to full speed.
 func TestThrottledTaskCountsInPart(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.settle("w1", "loud")
-	w.settle("w2")
+	w := newSimulation()
+	w.placeReplica("w1", "loud")
+	w.placeReplica("w2")
 	w.e.Throttled(w.now, "w1", "w1loud", 25)
 	w.truth["loud"] = math.Exp(math.Log(1.8) / 4)
 	w.run(150, "w1", "w2")
-	is.True(near(w.slowdown("loud"), 1.8, 0.25))
+	is.True(approxEqual(w.slowdown("loud"), 1.8, 0.25))
 }
 
-// Symptom: one wild report has every task of a class throttled.
-// Sequence: after many good reports one says a hundred times the latency.
-// Cause: the estimate follows the size of a surprise without a bound.
+// Guards against a single outlier, with a hundred times the latency, that gives a class a
+// high slowdown.
 func TestOutlierMovesLittle(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.settle("w1", "quiet")
-	w.settle("w2")
+	w := newSimulation()
+	w.placeReplica("w1", "quiet")
+	w.placeReplica("w2")
 	w.run(60, "w1", "w2")
 	w.now = w.now.Add(interval)
 	w.e.Observe(w.now, "w1", usage("r-w1", w.now, 100*w.latency("w1")))
@@ -231,34 +224,33 @@
 	is.True(victim.Level < 1.2)
 }
 
-// Symptom: a class keeps its bad name for hours after the load shifted.
-// Sequence: loud harms, then its harm ends while it goes on running.
-// Cause: the filter has grown so sure that new reports count for nothing.
+// Guards against an estimate that no longer follows changes after many reports: loud
+// is harmful for an hour and then becomes harmless.
 func TestShiftIsFollowed(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.truth["loud"] = 1.6
-	w.settle("w1", "loud")
-	w.settle("w2")
+	w.placeReplica("w1", "loud")
+	w.placeReplica("w2")
 	w.run(720, "w1", "w2")
-	is.True(near(w.slowdown("loud"), 1.6, 0.1))
+	is.True(approxEqual(w.slowdown("loud"), 1.6, 0.1))
 	w.truth["loud"] = 1
 	w.run(60, "w1", "w2")
 	is.True(w.slowdown("loud") < 1.15)
 }
 
-func TestUnseenPairTakesTheCulpritsName(t *testing.T) {
+func TestUnseenPairUsesCulpritPrior(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.truth["loud"] = 1.6
-	w.settle("w1", "loud", "quiet")
-	w.settle("w2", "quiet")
+	w.placeReplica("w1", "loud", "quiet")
+	w.placeReplica("w2", "quiet")
 	w.run(60, "w1", "w2")
 	loud, confidence := w.e.Slowdown(w.now, "another", "loud")
 	quiet, _ := w.e.Slowdown(w.now, "another", "quiet")
 	is.Equal(confidence, 0.0)
 	is.True(loud > quiet+0.05)
-	is.True(loud < 1.6) // drawn towards the prior
+	is.True(loud < 1.6) // shrunk towards the prior
 }
 
 func TestBadReportsTouchNothing(t *testing.T) {
@@ -283,9 +275,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld()
-			w.settle("w1", "loud")
-			w.settle("w2")
+			w := newSimulation()
+			w.placeReplica("w1", "loud")
+			w.placeReplica("w2")
 			w.run(10, "w1", "w2")
 			w.now = w.now.Add(interval)
 			before, victims := w.e.State(w.now), w.e.Pressure(w.now, "w1")
@@ -300,14 +292,12 @@
 	}
 }
 
-// Symptom: services drown on a worker that looks fine.
-// Sequence: a worker's reports stop while its tasks run.
-// Cause: the last reports are taken for the present.
+// Guards against stale figures of a worker whose reports stopped while its tasks run.
 func TestSilentWorkerIsSeen(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(interference.WithSilence(time.Minute))
-	w.settle("w1", "loud")
-	w.settle("w2", "loud")
+	w := newSimulation(interference.WithSilence(time.Minute))
+	w.placeReplica("w1", "loud")
+	w.placeReplica("w2", "loud")
 	w.run(3, "w1", "w2")
 	before := w.e.Pressure(w.now, "w1")[0].Level
 	w.run(13, "w2")
@@ -344,7 +334,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(interference.WithLagBound(time.Hour), c.option)
+			w := newSimulation(interference.WithLagBound(time.Hour), c.option)
 			for i := range 1000 {
 				worker, job := fmt.Sprint("w", i%10), fmt.Sprint("job", i%97)
 				replica := interference.Task{ID: "r" + worker, Class: "service" + worker, Kind: provider.KindService}
@@ -359,10 +349,10 @@
 	}
 }
 
-func TestForgetsWorkersThatAreGone(t *testing.T) {
+func TestRemovesHistoriesOfGoneWorkers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.settle("w1")
+	w := newSimulation()
+	w.placeReplica("w1")
 	w.e.Removed(w.now, "w1", "r-w1")
 	w.now = w.now.Add(time.Hour)
 	w.e.Placed(w.now, "last", service("r"))
--- a/interference/fade_test.go
+++ b/interference/fade_test.go
@@ -10,10 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Symptom: batch work is kept off an idle worker for ever.
-// Sequence: a service answers slowly for no reason that is known; then it gets
-// no requests, and its reports hold no latency.
-// Cause: what slow answers taught isn't corrected by silence about latency.
+// Guards against batch work kept off an idle worker for ever: a service was slow for an
+// unknown reason, and then gets no requests, so that no latency corrects its residual.
 func TestResidualFadesWithoutRequests(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -32,10 +30,9 @@
 	is.True(e.Worst(now, "w1") < 1.02) // five idle minutes later
 }
 
-// Symptom: batch work is kept off a worker that hardly gets requests.
-// Sequence: single requests, one of them slow, after a time of many.
-// Cause: the slowest of a few answers is taken for the tail.
-func TestFewRequestsTeachNothing(t *testing.T) {
+// Guards against batch work kept off a worker that hardly gets requests: the latency of
+// single slow requests isn't a tail.
+func TestFewRequestsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	e := interference.New()
--- a/interference/filter.go
+++ b/interference/filter.go
@@ -1,13 +1,13 @@
 package interference
 
-// filter is a Kalman filter over a growing list of coefficients, with their
+// filter is a Kalman filter over a variable list of coefficients, with their
 // full covariance.
 //
-// What goes wrong: tasks are seldom alone, so a baseline and the pairs beside
-// it can trade parts of the latency. With variances alone each trade looks
-// certain, and small errors add up into a baseline that drifts. One would
-// notice that all services are throttled while none is slow, or the reverse.
-// The covariance remembers which sums are known and which parts aren't.
+// Tasks seldom run alone, so often only the sum of a baseline and its pairs is
+// observable. The covariance records that the sum is known while its parts are
+// uncertain. With variances alone the parts would seem certain, and small errors would
+// add up to a drift of the baseline, so that tasks are throttled while no service is
+// slow, or the reverse.
 type filter struct {
 	mean       []float64
 	covariance [][]float64
@@ -31,9 +31,9 @@
 	return n
 }
 
-// branch appends a coefficient that differs from a known one by a deviation
+// addCorrelated appends a coefficient that differs from a known one by a deviation
 // of the given variance, and returns its index.
-func (f *filter) branch(from int, variance float64) int {
+func (f *filter) addCorrelated(from int, variance float64) int {
 	n := f.add(f.mean[from], f.covariance[from][from]+variance)
 	for i := range n {
 		f.covariance[n][i] = f.covariance[from][i]
@@ -42,7 +42,7 @@
 	return n
 }
 
-// remove drops a coefficient; the last one takes its index.
+// remove removes a coefficient; the last one takes its index.
 func (f *filter) remove(i int) {
 	last := len(f.mean) - 1
 	f.mean[i] = f.mean[last]
@@ -55,8 +55,8 @@
 	}
 }
 
-// loosen adds variance to a coefficient up to a limit.
-func (f *filter) loosen(i int, variance, limit float64) {
+// inflate adds variance to a coefficient up to a limit.
+func (f *filter) inflate(i int, variance, limit float64) {
 	v := &f.covariance[i][i]
 	if *v < limit {
 		*v = min(*v+variance, limit)
@@ -79,7 +79,7 @@
 	return mean, variance, gains
 }
 
-// correct moves the coefficients by an innovation of the given variance.
+// correct updates the coefficients by an innovation of the given variance.
 func (f *filter) correct(gains []float64, innovation, spread float64) {
 	for i, g := range gains {
 		f.mean[i] += g * innovation / spread
--- a/interference/fuzz_test.go
+++ b/interference/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// FuzzObserve checks that no report, however odd, makes an estimate that
-// isn't a number or a slowdown below 1, and that only a used one changes any.
+// FuzzObserve checks that no report leads to an estimate that isn't a number or to a
+// slowdown below 1, and that only used reports change estimates.
 func FuzzObserve(f *testing.F) {
 	f.Add("r-w1", int64(0), int64(interval), int64(10*time.Millisecond), 500, int64(1000))
 	f.Add("r-w1", int64(time.Hour), int64(interval), int64(time.Millisecond), 1, int64(0))
@@ -21,8 +21,8 @@
 	f.Add("r-w1", int64(0), int64(math.MaxInt64), int64(math.MaxInt64), math.MaxInt, int64(math.MaxInt64))
 	f.Add("r-w1", int64(math.MinInt64), int64(1), int64(1), math.MaxInt, int64(0))
 	f.Fuzz(func(t *testing.T, task string, offset, length, latency int64, requests int, processors int64) {
-		w := newWorld()
-		w.settle("w1", "loud")
+		w := newSimulation()
+		w.placeReplica("w1", "loud")
 		w.run(5, "w1")
 		w.now = w.now.Add(interval)
 		before := w.slowdown("loud")
--- a/interference/history.go
+++ b/interference/history.go
@@ -7,31 +7,31 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// worker is the history of what ran on one worker, in the order of starts.
+// worker is the history of the tasks on one worker, in the order of starts.
 type worker struct {
-	spans []span
-	heard time.Time // when the newest accepted report was measured
+	spans        []span
+	lastMeasured time.Time // measurement time of the newest accepted report
 }
 
-// span is a time during which a task ran at one speed. A zero end says that
-// it goes on.
+// span is an interval in which a task ran at one speed. The end of a running span is
+// zero.
 type span struct {
-	resident *resident
+	run      *taskRun
 	from, to time.Time
 	activity float64 // 1 is full speed
 }
 
-// resident is one stay of a task on a worker.
-type resident struct {
+// taskRun is one run of a task on a worker.
+type taskRun struct {
 	Task
-	measured time.Time // of the newest accepted report
-	readings [readings]reading
-	residual float64   // what the classes beside it don't explain
-	learned  time.Time // when the residual was last brought up to date
+	lastMeasured    time.Time // of the newest accepted report
+	readings        [medianWindow]reading
+	residual        float64   // logarithm of the slowdown that the classes beside it don't explain
+	residualUpdated time.Time // last update of the residual
 }
 
-// readings is how many observed ratios a median is taken of.
-const readings = 3
+// medianWindow is the number of observed ratios for a median.
+const medianWindow = 3
 
 // reading is a latency relative to the baseline and the start of the
 // interval over which it was measured.
@@ -40,8 +40,8 @@
 	ratio float64
 }
 
-// exposure is how much of a class ran beside a task, where 1 is one task at
-// full speed for the whole interval.
+// exposure is the amount of a class that ran beside a task. 1 is one task at full speed
+// for the whole interval.
 type exposure struct {
 	class  string
 	kind   provider.TaskKind
@@ -52,7 +52,7 @@
 	if w.running(t.ID) != nil {
 		return
 	}
-	w.spans = append(w.spans, span{resident: &resident{Task: t}, from: at, activity: 1})
+	w.spans = append(w.spans, span{run: &taskRun{Task: t}, from: at, activity: 1})
 }
 
 func (w *worker) remove(at time.Time, task string) {
@@ -66,7 +66,7 @@
 	if s == nil || s.activity == activity {
 		return
 	}
-	next := span{resident: s.resident, from: at, activity: activity}
+	next := span{run: s.run, from: at, activity: activity}
 	s.end(at)
 	w.spans = append(w.spans, next)
 }
@@ -80,7 +80,7 @@
 
 func (w *worker) running(task string) *span {
 	for i := range w.spans {
-		if w.spans[i].to.IsZero() && w.spans[i].resident.ID == task {
+		if w.spans[i].to.IsZero() && w.spans[i].run.ID == task {
 			return &w.spans[i]
 		}
 	}
@@ -91,40 +91,37 @@
 	return slices.ContainsFunc(w.spans, func(s span) bool { return s.to.IsZero() })
 }
 
-// resident returns the stay of a task that was there at the end of the
-// interval, or just before.
-func (w *worker) resident(task string, from, to time.Time) *resident {
+// findRun returns the newest run of a task that overlaps with an interval, nil if there
+// is none.
+func (w *worker) findRun(task string, from, to time.Time) *taskRun {
 	for i := len(w.spans) - 1; i >= 0; i-- {
 		s := &w.spans[i]
-		if s.resident.ID == task && s.overlap(from, to) > 0 {
-			return s.resident
+		if s.run.ID == task && s.overlap(from, to) > 0 {
+			return s.run
 		}
 	}
 	return nil
 }
 
-// beside appends to list the classes that ran beside r from one time to the
-// other.
+// exposures appends the exposures of r to the classes that ran beside it in an interval.
 //
-// What goes wrong: a report arrives after the task that caused its latency
-// has left, and whoever runs now is blamed. One would notice harmless classes
-// that gain a high slowdown whenever they are placed after a harmful one. The
-// exposure is taken from the history at the time of measurement, so a task
-// that came later has none.
-func (w *worker) beside(list []exposure, r *resident, from, to time.Time) []exposure {
+// They come from the history of the measured interval, so that a task that started later
+// has none. If a late report were attributed to the current tasks, harmless classes that
+// are placed after a harmful one would get a high slowdown.
+func (w *worker) exposures(list []exposure, r *taskRun, from, to time.Time) []exposure {
 	whole := to.Sub(from).Seconds()
 	for i := range w.spans {
 		s := &w.spans[i]
-		if s.resident == r {
+		if s.run == r {
 			continue
 		}
 		amount := s.activity * s.overlap(from, to).Seconds() / whole
-		list = expose(list, s.resident.Task, amount)
+		list = addExposure(list, s.run.Task, amount)
 	}
 	return list
 }
 
-func expose(list []exposure, t Task, amount float64) []exposure {
+func addExposure(list []exposure, t Task, amount float64) []exposure {
 	if amount <= 0 {
 		return list
 	}
@@ -147,8 +144,8 @@
 	return max(to.Sub(from), 0)
 }
 
-// prune drops spans that ended before the horizon, and the oldest ended ones
-// above the limit. Running spans stay; a worker's capacity bounds those.
+// prune removes spans that ended before the horizon, and the oldest ended spans
+// above the limit. Running spans stay; their number is bounded by the worker's capacity.
 func (w *worker) prune(horizon time.Time, limit int) {
 	excess := len(w.spans) - limit
 	w.spans = slices.DeleteFunc(w.spans, func(s span) bool {
@@ -163,22 +160,21 @@
 	})
 }
 
-// observed returns the median of the newest readings, and the start of the
-// interval from which on most of them were measured. It isn't known before
-// all readings are there.
-func (r *resident) observed() (ratio float64, from time.Time, ok bool) {
-	if r.readings[readings-1].from.IsZero() {
+// observed returns the median of the newest readings, and the start of the interval in
+// which most of them were measured. Ok is false until there are enough readings.
+func (r *taskRun) observed() (ratio float64, from time.Time, ok bool) {
+	if r.readings[medianWindow-1].from.IsZero() {
 		return 1, time.Time{}, false
 	}
-	ratios := make([]float64, 0, readings)
+	ratios := make([]float64, 0, medianWindow)
 	for _, reading := range r.readings {
 		ratios = append(ratios, reading.ratio)
 	}
 	slices.Sort(ratios)
-	return ratios[readings/2], r.readings[readings/2].from, true
+	return ratios[medianWindow/2], r.readings[medianWindow/2].from, true
 }
 
-func (r *resident) read(from time.Time, ratio float64) {
-	copy(r.readings[1:], r.readings[:readings-1])
+func (r *taskRun) addReading(from time.Time, ratio float64) {
+	copy(r.readings[1:], r.readings[:medianWindow-1])
 	r.readings[0] = reading{from, ratio}
 }
--- a/interference/options.go
+++ b/interference/options.go
@@ -37,43 +37,42 @@
 	}
 }
 
-// WithLagBound sets how late a report may be and still count (default 2
-// minutes). History is kept for as long.
+// WithLagBound sets the maximum lag of a report (default 2 minutes). Histories are kept
+// for that time.
 func WithLagBound(d time.Duration) Option {
 	return func(o *options) { o.lagBound = d }
 }
 
-// WithSkew sets how far ahead a worker's clock may be (default 1 s).
+// WithSkew sets by how much a worker's clock may be ahead (default 1 s).
 func WithSkew(d time.Duration) Option {
 	return func(o *options) { o.skew = d }
 }
 
-// WithSilence sets after how long without a report a worker counts as silent
+// WithSilence sets the time without a report after which a worker counts as silent
 // (default 90 s).
 func WithSilence(d time.Duration) Option {
 	return func(o *options) { o.silence = d }
 }
 
-// WithMemory sets the time constant by which old evidence gives way to the
-// prior (default 1 hour).
+// WithMemory sets the time constant by which a coefficient returns to its prior
+// (default 1 hour).
 func WithMemory(d time.Duration) Option {
 	return func(o *options) { o.memory = d }
 }
 
-// WithPrior sets the slowdown expected of an unseen batch class and the
+// WithPrior sets the expected slowdown by an unseen batch class and the
 // standard deviation of its logarithm (default 1.01 and 0.3).
 func WithPrior(ratio, deviation float64) Option {
 	return func(o *options) { o.prior, o.deviation = logRatio(ratio), deviation }
 }
 
-// WithClip sets at how many standard deviations a surprise is cut off
-// (default 3).
+// WithClip sets the bound of an innovation in standard deviations (default 3).
 func WithClip(deviations float64) Option {
 	return func(o *options) { o.clip = deviations }
 }
 
-// WithMaxPairs bounds how many pairs of classes are kept (default 20000). The
-// pairs without news for the longest go first.
+// WithMaxPairs bounds the number of pairs of classes (default 20000). The least
+// recently updated pairs are evicted first.
 func WithMaxPairs(n int) Option {
 	return func(o *options) { o.maxPairs = n }
 }
@@ -83,14 +82,14 @@
 	return func(o *options) { o.maxSpans = n }
 }
 
-// WithMaxServices bounds how many services are kept (default 4096). The ones
-// without news for the longest go first.
+// WithMaxServices bounds the number of services (default 4096). The least recently
+// updated ones are evicted first.
 func WithMaxServices(n int) Option {
 	return func(o *options) { o.maxServices = n }
 }
 
-// WithMaxCulprits bounds how many pairs are kept for one service (default
-// 64). Its memory and the work for each of its reports grow with the square.
+// WithMaxCulprits bounds the number of pairs of one service (default 64). The memory of
+// a service and the work for each of its reports grow with the square of it.
 func WithMaxCulprits(n int) Option {
 	return func(o *options) { o.maxCulprits = n }
 }
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -7,23 +7,23 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Victim is what a service on a worker suffers.
+// Victim is the slowdown of a service's task on a worker.
 type Victim struct {
 	Task  string
 	Class string
-	// Level is the slowdown expected with the tasks that run now: the sum
-	// of the pairs plus what this task's reports showed beyond it. It doesn't
-	// wait for reports, so it shows an action's effect at once.
+	// Level is the expected slowdown beside the current tasks: the sum of the pairs plus
+	// the residual of this task's reports. It doesn't depend on new reports, so it
+	// reflects the effect of an action at once.
 	Level      float64
-	Predicted  float64   // the pairs alone
-	Confidence float64   // of the pairs, from 0 to 1
-	Observed   float64   // median of the newest reports over the baseline
-	From       time.Time // since when most of those reports measured; zero before there are enough
-	Silent     bool      // the worker's reports stopped; Level has a margin added
+	Predicted  float64   // from the pairs alone
+	Confidence float64   // lowest confidence of the pairs, from 0 to 1
+	Observed   float64   // median latency of the newest reports, relative to the baseline
+	From       time.Time // start of the interval in which most of those reports were measured; zero before there are enough
+	Silent     bool      // the worker's reports stopped; Level includes a margin
 	Culprits   []Culprit
 }
 
-// Culprit is a running task's part in a victim's slowdown.
+// Culprit is a running task's contribution to a victim's slowdown.
 type Culprit struct {
 	Task       string
 	Class      string
@@ -33,31 +33,31 @@
 	Confidence float64
 }
 
-// Pressure returns the slowdown of each service on a worker as it would be
-// with the added tasks, which may be none. An added service comes last.
+// Pressure returns the expected slowdown of each service on a worker with the added
+// tasks, which may be none. An added service comes last.
 func (e *Estimator) Pressure(now time.Time, worker string, add ...Task) []Victim {
 	var list []Victim
 	w := e.workers[worker]
 	if w == nil {
-		w = &noWorker
+		w = &emptyWorker
 	}
 	silent := e.Silent(now, worker)
 	for i := range w.spans {
 		s := &w.spans[i]
-		if s.to.IsZero() && s.resident.Kind == provider.KindService {
-			list = append(list, e.suffer(now, w, s.resident, add, silent))
+		if s.to.IsZero() && s.run.Kind == provider.KindService {
+			list = append(list, e.predictVictim(now, w, s.run, add, silent))
 		}
 	}
 	for i, t := range add {
 		if t.Kind == provider.KindService {
 			others := append(append([]Task(nil), add[:i]...), add[i+1:]...)
-			list = append(list, e.suffer(now, w, &resident{Task: t}, others, silent))
+			list = append(list, e.predictVictim(now, w, &taskRun{Task: t}, others, silent))
 		}
 	}
 	return list
 }
 
-var noWorker worker
+var emptyWorker worker
 
 // Worst returns the highest level that any service on a worker would have
 // with the added tasks, 1 when there is no service.
@@ -69,14 +69,14 @@
 	return worst
 }
 
-func (e *Estimator) suffer(now time.Time, w *worker, r *resident, add []Task, silent bool) Victim {
+func (e *Estimator) predictVictim(now time.Time, w *worker, r *taskRun, add []Task, silent bool) Victim {
 	v := e.victims[r.Class]
 	out := Victim{Task: r.ID, Class: r.Class, Confidence: 1, Silent: silent}
 	out.Observed, out.From, _ = r.observed()
 	out.Culprits = make([]Culprit, 0, len(w.spans)+len(add))
 	sum, variance := 0.0, 0.0
-	take := func(t Task, activity float64) {
-		c := e.read(now, v, t.Class, t.Kind)
+	addCulprit := func(t Task, activity float64) {
+		c := e.coefficient(now, v, t.Class, t.Kind)
 		sum += activity * c.mean
 		variance += activity * activity * c.variance
 		confidence := c.confidence(e.deviation)
@@ -85,15 +85,15 @@
 	}
 	for i := range w.spans {
 		s := &w.spans[i]
-		if s.resident != r && s.to.IsZero() {
-			take(s.resident.Task, s.activity)
+		if s.run != r && s.to.IsZero() {
+			addCulprit(s.run.Task, s.activity)
 		}
 	}
 	for _, t := range add {
-		take(t, 1)
+		addCulprit(t, 1)
 	}
 	out.Predicted = math.Exp(sum)
-	residual := r.remaining(now)
+	residual := r.decayedResidual(now)
 	level := sum + residual
 	if silent {
 		level = sum + max(residual, 0) + math.Sqrt(variance)
@@ -102,14 +102,13 @@
 	return out
 }
 
-// remaining returns what is left of a replica's residual.
+// decayedResidual returns a replica's residual after its decay since the last report.
 //
-// What goes wrong: a replica had slow answers, then no requests at all, so
-// that nothing corrects what was learnt from them. One would notice batch work
-// kept off an idle worker for ever. A residual without news fades.
-func (r *resident) remaining(now time.Time) float64 {
-	idle := now.Sub(r.learned)
-	if r.learned.IsZero() || idle <= 0 {
+// Without the decay, a replica that was slow and then got no requests would keep batch
+// work off an idle worker for ever.
+func (r *taskRun) decayedResidual(now time.Time) float64 {
+	idle := now.Sub(r.residualUpdated)
+	if r.residualUpdated.IsZero() || idle <= 0 {
 		return r.residual
 	}
 	return r.residual * math.Exp(-idle.Seconds()/residualMemory.Seconds())
--- a/interference/report.go
+++ b/interference/report.go
@@ -9,22 +9,22 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Outcome tells what became of a report.
+// Outcome is the result of handling a report.
 type Outcome int
 
-// Outcomes of a report. Only a Used one touches the estimate.
+// Outcomes of a report. Only a Used report changes the estimates.
 const (
 	Used        Outcome = iota
 	Future              // measured later than now
-	Repeated            // measured at the same time as one used before
-	OutOfOrder          // measured before one used already
-	UnknownTask         // the task wasn't on the worker when it was measured
+	Repeated            // measured at the same time as the newest used one
+	OutOfOrder          // measured before the newest used one
+	UnknownTask         // the task wasn't on the worker in the measured interval
 	Negative            // a negative amount, or an interval that isn't positive
 	Stale               // older than the lag bound
 	outcomes
 )
 
-// Observe takes one task's usage as reported by a worker. A bad report is
+// Observe handles a worker's report of one task's usage. A rejected report is
 // counted and changes nothing else.
 func (e *Estimator) Observe(now time.Time, worker string, u provider.Usage) Outcome {
 	o := e.observe(now, worker, u)
@@ -47,46 +47,42 @@
 	if w == nil {
 		return UnknownTask
 	}
-	r := w.resident(u.Task, from, u.Measured)
+	r := w.findRun(u.Task, from, u.Measured)
 	if r == nil {
 		return UnknownTask
 	}
-	if u.Measured.Equal(r.measured) {
+	if u.Measured.Equal(r.lastMeasured) {
 		return Repeated
 	}
-	if u.Measured.Before(r.measured) {
+	if u.Measured.Before(r.lastMeasured) {
 		return OutOfOrder
 	}
-	r.measured = u.Measured
-	if u.Measured.After(w.heard) {
-		w.heard = u.Measured
+	r.lastMeasured = u.Measured
+	if u.Measured.After(w.lastMeasured) {
+		w.lastMeasured = u.Measured
 	}
 	if r.Kind == provider.KindService && u.Latency > 0 && u.Requests >= minRequests {
 		e.learn(now, w, r, u)
-		e.shed(r.Class)
+		e.evictPairs(r.Class)
 	}
 	return Used
 }
 
-// minRequests is how many requests a report has to cover for its latency to
-// teach anything.
-//
-// What goes wrong: the first few answers of a replica are slow, as its
-// connections are new, and stand for its tail. One would notice batch work
-// kept off a worker that hardly gets requests.
+// minRequests is the number of requests that a report has to cover for its latency to be
+// used. The first answers of a replica are slow, as its connections are new. Taken for its
+// tail, they would keep batch work off a worker that hardly gets requests.
 const minRequests = 5
 
-// learn takes a step of the victim's filter.
+// learn updates the victim's filter with a report.
 //
-// What goes wrong: one wild report drags every estimate of its class. One
-// would notice throttles that follow single reports. The innovation is clipped
-// at a few standard deviations, so one report moves a coefficient by a bounded
-// amount.
-func (e *Estimator) learn(now time.Time, w *worker, r *resident, u provider.Usage) {
+// The innovation is clipped at a few standard deviations, so that an outlier changes a
+// coefficient by a bounded amount. Otherwise a single report could throttle all tasks of
+// a class.
+func (e *Estimator) learn(now time.Time, w *worker, r *taskRun, u provider.Usage) {
 	from := u.Measured.Add(-u.Interval)
 	v := e.victim(now, r.Class)
-	e.loosen(now, v)
-	beside := w.beside(nil, r, from, u.Measured)
+	e.addDrift(now, v)
+	beside := w.exposures(nil, r, from, u.Measured)
 	latency := math.Log(u.Latency.Seconds())
 
 	var terms []term
@@ -108,18 +104,18 @@
 		v.filter.mean[p.index] = min(max(v.filter.mean[p.index], 0), maxMean)
 	}
 	for _, x := range beside {
-		e.pool(v, x.class)
+		e.updatePooled(v, x.class)
 	}
 	v.noise = max(v.noise+noiseGain*(clipped*clipped-spread), minNoise)
 
-	left := clipped * v.noise / spread
-	r.residual += residualGain(v.noise) * (left - r.residual)
-	r.learned = now
-	r.read(from, math.Exp(innovation+pressure))
+	unexplained := clipped * v.noise / spread
+	r.residual += residualGain(v.noise) * (unexplained - r.residual)
+	r.residualUpdated = now
+	r.addReading(from, math.Exp(innovation+pressure))
 }
 
-// residualGain is the steady gain of a filter that follows a replica's
-// residual: the noisier the reports, the slower.
+// residualGain returns the steady-state Kalman gain of a replica's residual. It falls
+// with the noise of the reports.
 func residualGain(noise float64) float64 {
 	variance := (residualDrift + math.Sqrt(residualDrift*residualDrift+4*residualDrift*noise)) / 2
 	return variance / (variance + noise)
--- a/interference/state.go
+++ b/interference/state.go
@@ -9,13 +9,13 @@
 // State is a dump of an Estimator.
 type State struct {
 	Reports map[string]uint64 `json:"reports"` // by outcome
-	Silent  []string          `json:"silent"`  // workers under the conservative policy
+	Silent  []string          `json:"silent"`  // names of silent workers, which get the conservative policy
 	Workers int               `json:"workers"`
 	Spans   int               `json:"spans"`
 	Pairs   []Pair            `json:"pairs"`
 }
 
-// Pair is what is known of one pair of classes.
+// Pair is the estimate of one pair of classes.
 type Pair struct {
 	Victim     string    `json:"victim"`
 	Culprit    string    `json:"culprit"`
@@ -39,7 +39,7 @@
 	slices.Sort(s.Silent)
 	for name, v := range e.victims {
 		for class, p := range v.pairs {
-			c := e.read(now, v, class, e.kindOf(class))
+			c := e.coefficient(now, v, class, e.kindOf(class))
 			s.Pairs = append(s.Pairs, Pair{name, class, c.ratio(), c.confidence(e.deviation), p.updated})
 		}
 	}
