--- a/delay/delay.go
+++ b/delay/delay.go
@@ -1,5 +1,5 @@
-// Package delay accounts for the time that a job took beyond its work, by
-// cause.
+// Package delay breaks down the delay of a job, which is the time that it took beyond
+// its work, by cause.
 //
 // Usage:
 //
@@ -7,8 +7,8 @@
 //	a.Add(delay.Room, 300*time.Millisecond)
 //	cause, most := a.Largest()
 //
-// An Account follows one task, or the chain of tasks that a job had to wait
-// for: of each step the one that ended last.
+// An Account belongs to one task, or to the critical path of a job: the last task to end
+// of each step that the job waited for.
 package delay
 
 import (
@@ -17,10 +17,10 @@
 
 //go:generate go tool stringer -type=Cause -linecomment
 
-// Cause is why a job took longer than its work.
+// Cause is a reason for which a job took longer than its work.
 type Cause uint8
 
-// Causes. Their names stand in logs.
+// Causes. Their names are written to logs.
 const (
 	None   Cause = iota // none
 	Room                // room
@@ -32,51 +32,51 @@
 	causes
 )
 
-// What the names mean:
+// Meaning of the names:
 //
-//	room    waited for a worker with room, or with serving tasks that bear it
-//	failed  ran and failed, by its own fault or its worker's
-//	moved   ran and was stopped by the owner, to be started elsewhere
-//	lost    ran on a worker that was lost, or whose lease ended
-//	slowed  worked below full speed beside serving tasks
-//	longer  ran longer than was estimated
+//	room    waited for a worker with free capacity, or whose serving tasks tolerate the task
+//	failed  ran and failed, because of the task or its worker
+//	moved   ran and was stopped by the owner, to be started on another worker
+//	lost    ran on a worker that was lost or whose lease expired
+//	slowed  ran throttled beside serving tasks
+//	longer  ran longer than estimated
 
-// All returns the causes that time may be put down to.
+// All returns all causes except None.
 func All() []Cause {
 	return []Cause{Room, Failed, Moved, Lost, Slowed, Longer}
 }
 
-// Account is time by cause. The zero value is empty.
+// Account holds durations by cause. The zero value is empty.
 type Account struct {
-	spent [causes]time.Duration
+	byCause [causes]time.Duration
 }
 
-// Add puts time down to a cause.
+// Add adds a duration to a cause. A duration that isn't positive is ignored.
 func (a *Account) Add(c Cause, d time.Duration) {
 	if d > 0 {
-		a.spent[c] += d
+		a.byCause[c] += d
 	}
 }
 
-// Join adds all of another account.
+// Join adds the durations of another account.
 func (a *Account) Join(other *Account) {
-	for c, d := range other.spent {
-		a.spent[c] += d
+	for c, d := range other.byCause {
+		a.byCause[c] += d
 	}
 }
 
-// Of returns the time that was put down to a cause.
+// Of returns the duration of a cause.
 func (a *Account) Of(c Cause) time.Duration {
-	return a.spent[c]
+	return a.byCause[c]
 }
 
-// Largest returns the cause with the most time, None if there is none.
+// Largest returns the cause with the longest duration, None for an empty account.
 func (a *Account) Largest() (Cause, time.Duration) {
 	largest := None
-	for c, d := range a.spent {
-		if d > a.spent[largest] {
+	for c, d := range a.byCause {
+		if d > a.byCause[largest] {
 			largest = Cause(c)
 		}
 	}
-	return largest, a.spent[largest]
+	return largest, a.byCause[largest]
 }
--- a/loss/loss.go
+++ b/loss/loss.go
@@ -1,4 +1,4 @@
-// Package loss tells from logs which jobs were late, when and why.
+// Package loss reports from logs which jobs were late, when and why.
 //
 // Usage:
 //
@@ -6,11 +6,11 @@
 //	err := t.Read("edge-1.log", file)
 //	fmt.Print(t.Report())
 //
-// The owner of a cell logs one line when a job ends, with its kind, its
-// objective by estimates and what held it up, and one line a second on the
-// load, with the serving tasks over their target. A job that ended under a
-// later owner than it began under is counted by itself, as the time before
-// isn't known. What a log says was left out of it is told beside the account.
+// The owner of a cell logs one line when a job ends, with its kind, its estimated
+// objective and its delay by cause, and one line a second on the load, with the number of
+// serving tasks over their target. A job that was taken over by a later owner is counted
+// separately, since its delay before the takeover isn't known. Lines that the logger left
+// out are counted in the report.
 package loss
 
 import (
@@ -28,35 +28,35 @@
 	"github.com/dogwoodladder/dogwoodladder/timeline"
 )
 
-// Span is the length of the moments that a report tells apart.
+// Span is the length of the intervals by which a report counts late jobs.
 const Span = 10 * time.Second
 
-// takeover stands for what held a job up that changed its owner.
+// takeover is the reason for a late job that had more than one owner.
 const takeover = "takeover"
 
-// row is the jobs of a kind that were late for a reason.
+// row identifies the jobs of a kind that were late for a reason.
 type row struct {
 	kind, reason string
 }
 
-// tally is a number of jobs and how late they were together.
+// tally is a number of jobs and their total lateness.
 type tally struct {
 	jobs int
 	late time.Duration
 }
 
-// Table gathers what logs say. It isn't safe for concurrent use.
+// Table accumulates the events of logs. It isn't safe for concurrent use.
 type Table struct {
-	ended map[string]int // jobs that completed, by kind
-	late  map[row]tally
-	when  map[row]map[int64]int // late jobs by kind and Span since the epoch; no reason
-	over  float64               // seconds of serving tasks over their target
-	gaps  map[string]int        // lines that were left out of the logs, by message
+	ended             map[string]int // jobs that completed, by kind
+	late              map[row]tally
+	lateBySpan        map[row]map[int64]int // late jobs by kind (the reason is empty) and Span since the epoch
+	overTargetSeconds float64               // total time of serving tasks over their target
+	omitted           map[string]int        // number of omitted log lines by message
 }
 
 // New returns an empty Table.
 func New() *Table {
-	return &Table{ended: make(map[string]int), late: make(map[row]tally), when: make(map[row]map[int64]int), gaps: make(map[string]int)}
+	return &Table{ended: make(map[string]int), late: make(map[row]tally), lateBySpan: make(map[row]map[int64]int), omitted: make(map[string]int)}
 }
 
 // Read adds a log.
@@ -70,13 +70,13 @@
 		t.addJob(e)
 	case "load":
 		over, err := strconv.ParseFloat(e.Field("over"), 64)
-		if err == nil { // lines of older versions don't say
-			t.over += over
+		if err == nil { // older versions don't log it
+			t.overTargetSeconds += over
 		}
 	case timeline.LeftOut:
 		n, err := strconv.Atoi(e.Field("count"))
 		if err == nil {
-			t.gaps[e.Field("kind")] += n
+			t.omitted[e.Field("kind")] += n
 		}
 	}
 }
@@ -95,13 +95,13 @@
 	n := t.late[k]
 	t.late[k] = tally{jobs: n.jobs + 1, late: n.late + late}
 	k.reason = ""
-	if t.when[k] == nil {
-		t.when[k] = make(map[int64]int)
+	if t.lateBySpan[k] == nil {
+		t.lateBySpan[k] = make(map[int64]int)
 	}
-	t.when[k][e.Time.UnixNano()/int64(Span)]++
+	t.lateBySpan[k][e.Time.UnixNano()/int64(Span)]++
 }
 
-// reason returns what held a job up most.
+// reason returns the main cause of a job's delay.
 func reason(e timeline.Event) string {
 	if e.Field("taken") == "true" {
 		return takeover
@@ -114,8 +114,8 @@
 	return largest.String()
 }
 
-// duration returns a field that holds milliseconds, zero if there is none: a
-// cause without time isn't logged.
+// duration returns the value of a field in milliseconds. It is zero without the field,
+// since causes with a duration of zero aren't logged.
 func duration(e timeline.Event, name string) time.Duration {
 	ms, err := strconv.ParseFloat(e.Field(name), 64)
 	if err != nil {
@@ -137,27 +137,27 @@
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\n", k.kind, k.reason, n.jobs, t.ended[k.kind], (n.late / time.Duration(n.jobs)).Round(10*time.Millisecond))
 	}
 	_ = w.Flush() // into memory
-	fmt.Fprintf(&b, "\nserving tasks over their target: %.0f s\n", t.over)
-	t.reportMoments(&b)
-	t.reportGaps(&b)
+	fmt.Fprintf(&b, "\nserving tasks over their target: %.0f s\n", t.overTargetSeconds)
+	t.writeLateBySpan(&b)
+	t.writeOmitted(&b)
 	return b.String()
 }
 
-// reportMoments adds when the late jobs ended.
-func (t *Table) reportMoments(b *strings.Builder) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.when), func(x, y row) int { return cmp.Compare(x.kind, y.kind) }) {
+// writeLateBySpan writes the number of late jobs that ended in each Span.
+func (t *Table) writeLateBySpan(b *strings.Builder) {
+	for _, k := range slices.SortedFunc(maps.Keys(t.lateBySpan), func(x, y row) int { return cmp.Compare(x.kind, y.kind) }) {
 		fmt.Fprintf(b, "\n%s jobs that ended late, by %v:\n", k.kind, Span)
-		for _, span := range slices.Sorted(maps.Keys(t.when[k])) {
+		for _, span := range slices.Sorted(maps.Keys(t.lateBySpan[k])) {
 			at := time.Unix(0, span*int64(Span)).UTC()
-			fmt.Fprintf(b, "  %s  %d\n", at.Format("15:04:05"), t.when[k][span])
+			fmt.Fprintf(b, "  %s  %d\n", at.Format("15:04:05"), t.lateBySpan[k][span])
 		}
 	}
 }
 
-// reportGaps adds which part of the account is missing: each job that ended has
-// a line, and each second of an owner one on its load.
-func (t *Table) reportGaps(b *strings.Builder) {
-	if len(t.gaps) == 0 {
+// writeOmitted writes which part of the report is missing because of omitted lines: there
+// is one line for each job that ended, and one for each second of an owner on its load.
+func (t *Table) writeOmitted(b *strings.Builder) {
+	if len(t.omitted) == 0 {
 		return
 	}
 	ended := 0
@@ -165,8 +165,8 @@
 		ended += n
 	}
 	fmt.Fprintf(b, "\nleft out of the logs: the ends of %d jobs beside %d that are in the account, %d of its seconds\n",
-		t.gaps["job ended"], ended, t.gaps["load"])
-	for _, kind := range slices.Sorted(maps.Keys(t.gaps)) {
-		fmt.Fprintf(b, "  %-20s  %d lines\n", kind, t.gaps[kind])
+		t.omitted["job ended"], ended, t.omitted["load"])
+	for _, kind := range slices.Sorted(maps.Keys(t.omitted)) {
+		fmt.Fprintf(b, "  %-20s  %d lines\n", kind, t.omitted[kind])
 	}
 }
--- a/loss/loss_test.go
+++ b/loss/loss_test.go
@@ -42,8 +42,8 @@
 `)
 }
 
-// What logs leave out is told, so that an account of a part isn't read as one
-// of the whole.
+// TestReportTellsWhatIsMissing guards against a partial report that looks complete: lines
+// omitted from the logs must be counted.
 func TestReportTellsWhatIsMissing(t *testing.T) {
 	is := is.New(t)
 	table := loss.New()
--- a/progress/progress.go
+++ b/progress/progress.go
@@ -1,6 +1,6 @@
-// Package progress records what became of a job: which tasks are done, how
-// often each failed, and where an interrupted one resumes. One record a job,
-// rewritten as it changes, is both log and snapshot.
+// Package progress records the progress of a job: which tasks are done, how
+// often each failed, and the checkpoints from which interrupted tasks resume. A job has
+// one record, which is rewritten with each change.
 //
 // Usage:
 //
@@ -11,8 +11,8 @@
 //	}
 //	data, err := p.Encode()
 //
-// Every change is idempotent: an end that a worker lists again after a
-// takeover changes nothing the second time.
+// Every change is idempotent: a worker may report the end of a task again after a
+// takeover.
 package progress
 
 //go:generate go tool stringer -type=State -linecomment -output=strings.go
@@ -27,7 +27,7 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// State is how far a job is.
+// State is the state of a job.
 type State uint8
 
 // States of a job. The last three are final.
@@ -44,50 +44,51 @@
 	return s >= Completed
 }
 
-// Progress is what became of one job. Claimed is recorded before the first
-// start: the tasks of a job without it were never started by anyone.
+// Progress is the progress of one job. Claimed is recorded before the first start of a
+// task, so that no owner has started a task of a job without it.
 type Progress struct {
-	State   State         `cbor:"1,keyasint,omitempty"`
-	Rounds  map[int]Round `cbor:"2,keyasint,omitempty"` // by occurrence, of those begun and not yet done
-	Closed  []int         `cbor:"3,keyasint,omitempty"` // occurrences that are done
-	Ended   int64         `cbor:"4,keyasint,omitempty"` // when the state became final, Unix milliseconds
-	Claimed bool          `cbor:"5,keyasint,omitempty"`
-	offset  []int         // number of tasks before each step
+	State       State         `cbor:"1,keyasint,omitempty"`
+	Rounds      map[int]Round `cbor:"2,keyasint,omitempty"` // by occurrence, of occurrences that have started and aren't done
+	Closed      []int         `cbor:"3,keyasint,omitempty"` // occurrences that are done
+	Ended       int64         `cbor:"4,keyasint,omitempty"` // when the state became final, Unix milliseconds
+	Claimed     bool          `cbor:"5,keyasint,omitempty"`
+	stepOffsets []int         // number of tasks before each step
 }
 
 // Round is the progress of one occurrence. Tasks are numbered through all
 // steps.
 type Round struct {
 	Done    []byte                `cbor:"1,keyasint,omitempty"` // a bit for each task
-	Failed  map[int][]uint64      `cbor:"2,keyasint,omitempty"` // attempts that failed, by task
-	Saved   map[int]string        `cbor:"3,keyasint,omitempty"` // checkpoints of tasks that were interrupted
-	Crashes map[int]crash.History `cbor:"4,keyasint,omitempty"` // of the tasks whose workers crashed
+	Failed  map[int][]uint64      `cbor:"2,keyasint,omitempty"` // failed attempts by task
+	Saved   map[int]string        `cbor:"3,keyasint,omitempty"` // checkpoints of interrupted tasks
+	Crashes map[int]crash.History `cbor:"4,keyasint,omitempty"` // by tasks whose workers crashed
 }
 
-// New returns the progress of a job that hasn't begun.
+// New returns the progress of a job that hasn't started.
 func New(j *job.Job) *Progress {
 	p := &Progress{}
 	p.Bind(j)
 	return p
 }
 
-// Bind tells a decoded Progress the shape of its job.
+// Bind sets the numbering of tasks from the steps of the job. A decoded Progress needs it
+// before use.
 func (p *Progress) Bind(j *job.Job) {
-	p.offset = make([]int, len(j.Steps)+1)
+	p.stepOffsets = make([]int, len(j.Steps)+1)
 	for i := range j.Steps {
-		p.offset[i+1] = p.offset[i] + j.Steps[i].Count
+		p.stepOffsets[i+1] = p.stepOffsets[i] + j.Steps[i].Count
 	}
 	for n, r := range p.Rounds {
 		if size := p.doneBytes(); len(r.Done) > 0 && len(r.Done) < size {
-			r.Done = append(r.Done, make([]byte, size-len(r.Done))...) // written for fewer tasks
+			r.Done = append(r.Done, make([]byte, size-len(r.Done))...) // the record was written for fewer tasks
 			p.Rounds[n] = r
 		}
 	}
 }
 
-// doneBytes is the size of a round's Done.
+// doneBytes returns the size of a round's Done.
 func (p *Progress) doneBytes() int {
-	return (p.offset[len(p.offset)-1] + 7) / 8
+	return (p.stepOffsets[len(p.stepOffsets)-1] + 7) / 8
 }
 
 // Decode returns the Progress of a record. Bind it before use.
@@ -111,8 +112,8 @@
 	return data, nil
 }
 
-func (p *Progress) number(t job.Task) int {
-	return p.offset[t.Step] + t.Index
+func (p *Progress) taskNumber(t job.Task) int {
+	return p.stepOffsets[t.Step] + t.Index
 }
 
 // IsClosed reports whether an occurrence is done.
@@ -120,23 +121,23 @@
 	return slices.Contains(p.Closed, occurrence)
 }
 
-// IsDone reports whether a task has ended well.
+// IsDone reports whether a task has succeeded.
 func (p *Progress) IsDone(t job.Task) bool {
 	if p.IsClosed(t.Occurrence) {
 		return true
 	}
 	done := p.Rounds[t.Occurrence].Done
-	n := p.number(t)
+	n := p.taskNumber(t)
 	return n/8 < len(done) && done[n/8]&(1<<(n%8)) != 0
 }
 
-// Done records that a task has ended well. It reports whether that is news.
+// Done records that a task has succeeded. It reports whether that is a change.
 func (p *Progress) Done(t job.Task) bool {
 	if p.IsDone(t) {
 		return false
 	}
 	r := p.round(t.Occurrence)
-	n := p.number(t)
+	n := p.taskNumber(t)
 	if len(r.Done) == 0 {
 		r.Done = make([]byte, p.doneBytes())
 	}
@@ -156,11 +157,11 @@
 	}
 }
 
-// Fail records that an attempt at a task failed. It reports whether that is
-// news: a worker lists an end again until it is acknowledged, also to the
-// next owner, and counting it twice would fail the job too early.
+// Fail records a failed attempt at a task. It reports whether that is a change. A worker
+// repeats the end of an attempt until it is acknowledged, also to the next owner;
+// counting it twice would fail the job too early.
 func (p *Progress) Fail(t job.Task, attempt uint64) bool {
-	n := p.number(t)
+	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
 	if slices.Contains(r.Failed[n], attempt) {
 		return false
@@ -175,13 +176,13 @@
 
 // Failures returns how many attempts at a task failed.
 func (p *Progress) Failures(t job.Task) int {
-	return len(p.Rounds[t.Occurrence].Failed[p.number(t)])
+	return len(p.Rounds[t.Occurrence].Failed[p.taskNumber(t)])
 }
 
-// Save records where an interrupted task resumes. It reports whether that is
-// news.
+// Save records the checkpoint of an interrupted task. It reports whether that is a
+// change.
 func (p *Progress) Save(t job.Task, checkpoint string) bool {
-	n := p.number(t)
+	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
 	if checkpoint == "" || r.Saved[n] == checkpoint {
 		return false
@@ -194,19 +195,19 @@
 	return true
 }
 
-// Saved returns where a task resumes, empty for its beginning.
+// Saved returns the checkpoint from which a task resumes, empty if there is none.
 func (p *Progress) Saved(t job.Task) string {
-	return p.Rounds[t.Occurrence].Saved[p.number(t)]
+	return p.Rounds[t.Occurrence].Saved[p.taskNumber(t)]
 }
 
-// Crashes returns what is known of workers that crashed under a task.
+// Crashes returns the history of workers that crashed while they ran a task.
 func (p *Progress) Crashes(t job.Task) crash.History {
-	return p.Rounds[t.Occurrence].Crashes[p.number(t)]
+	return p.Rounds[t.Occurrence].Crashes[p.taskNumber(t)]
 }
 
-// SetCrashes records what is known of them.
+// SetCrashes records the history of workers that crashed while they ran a task.
 func (p *Progress) SetCrashes(t job.Task, h crash.History) {
-	n := p.number(t)
+	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
 	if r.Crashes == nil {
 		r.Crashes = make(map[int]crash.History)
--- a/progress/progress_test.go
+++ b/progress/progress_test.go
@@ -15,7 +15,7 @@
 	task := job.Task{Job: "a", Step: 1, Index: 2}
 	p := progress.New(j)
 	is.True(p.Fail(task, 7))
-	is.True(!p.Fail(task, 7)) // the same end, listed again
+	is.True(!p.Fail(task, 7)) // reported again
 	is.True(p.Fail(task, 8))
 	is.Equal(p.Failures(task), 2)
 	is.True(p.Save(task, "x"))
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline collects what the instances' logs say of one job.
+// Package timeline collects the events of one job from the logs of the instances.
 //
 // Usage:
 //
@@ -8,10 +8,10 @@
 //		fmt.Println(e)
 //	}
 //
-// Logs are lines of key=value pairs, as package logs writes them. Whatever
-// precedes the first pair of a line is passed over, so that logs may be piped
-// through a collector that adds a prefix. Lines of several instances are put in
-// order by their time of day, which may be off by as much as their clocks are.
+// Logs are lines of key=value pairs in the format of package logs. Text before the
+// timestamp of a line is skipped, so that logs may pass through a collector that adds a
+// prefix. Lines of several instances are sorted by their timestamps, whose order is only
+// as accurate as the instances' clocks.
 package timeline
 
 import (
@@ -29,23 +29,22 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// longest is the length of a line that is read. Longer ones are cut by the
-// collectors that we know.
-const longest = 1 << 20
+// maxLineLength is the maximum length of a line. Common log collectors truncate longer ones.
+const maxLineLength = 1 << 20
 
-// LeftOut is the message of the lines that tell what was left out of a log: their
-// field kind holds the message of those lines, count how many there were.
+// LeftOut is the message of the lines about lines omitted from a log: the field kind
+// holds the message of the omitted lines, the field count their number.
 const LeftOut = "lines left out"
 
-// Event is one line that concerns the job.
+// Event is one line of a log.
 type Event struct {
 	Time     time.Time
 	Instance string
-	Name     string // what was decided
+	Name     string // the message
 	Fields   []Field
 }
 
-// Field is one pair of a line.
+// Field is one key=value pair of a line.
 type Field struct {
 	Name, Value string
 }
@@ -60,7 +59,7 @@
 	return strings.TrimRight(b.String(), " ")
 }
 
-// Timeline is what is known of one job. It isn't safe for concurrent use.
+// Timeline holds the events of one job. It isn't safe for concurrent use.
 type Timeline struct {
 	id      string
 	events  []Event
@@ -72,7 +71,7 @@
 	return &Timeline{id: strings.ToLower(id)}
 }
 
-// Field returns the value of a field, nothing if there is none.
+// Field returns the value of a field, empty if the event has none of that name.
 func (e Event) Field(name string) string {
 	for _, f := range e.Fields {
 		if f.Name == name {
@@ -82,7 +81,7 @@
 	return ""
 }
 
-// Read adds the lines of a log that concern the job.
+// Read adds the lines of a log that contain the job's id.
 func (t *Timeline) Read(name string, r io.Reader) error {
 	return lines(name, r, func(line string) {
 		if strings.Contains(strings.ToLower(line), t.id) {
@@ -91,8 +90,7 @@
 	})
 }
 
-// Each hands the events of a log to a function. Lines that aren't whole are
-// passed over.
+// Each calls f for each event of a log. Incomplete lines are skipped.
 func Each(name string, r io.Reader, f func(Event)) error {
 	return lines(name, r, func(line string) {
 		if e, err := parse(line); err == nil {
@@ -103,7 +101,7 @@
 
 func lines(name string, r io.Reader, f func(string)) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longest)
+	scanner.Buffer(nil, maxLineLength)
 	for scanner.Scan() {
 		f(scanner.Text())
 	}
@@ -113,7 +111,7 @@
 	return nil
 }
 
-// add parses a line. One that isn't whole is counted, not guessed at.
+// add adds the event of a line. Incomplete lines are counted as skipped.
 func (t *Timeline) add(line string) {
 	e, err := parse(line)
 	if err != nil {
@@ -123,18 +121,18 @@
 	t.events = append(t.events, e)
 }
 
-var errNoTime = errors.New("a line without a time")
+var errNoTimestamp = errors.New("a line without a time")
 
-// parse returns the event of a line, whatever stands before its time.
+// parse returns the event of a line. It skips the text before the timestamp.
 func parse(line string) (Event, error) {
 	var e Event
 	start := strings.Index(line, "ts=")
 	if start < 0 {
-		return e, errNoTime
+		return e, errNoTimestamp
 	}
 	decoder := logfmt.NewDecoder(strings.NewReader(line[start:]))
 	if !decoder.ScanRecord() {
-		return e, errors.Join(errNoTime, decoder.Err())
+		return e, errors.Join(errNoTimestamp, decoder.Err())
 	}
 	for decoder.ScanKeyval() {
 		name, value := string(decoder.Key()), string(decoder.Value())
@@ -155,12 +153,12 @@
 		}
 	}
 	if e.Time.IsZero() {
-		return e, errNoTime
+		return e, errNoTimestamp
 	}
 	return e, decoder.Err()
 }
 
-// Events returns the events in order of time.
+// Events returns the events sorted by time.
 func (t *Timeline) Events() []Event {
 	slices.SortStableFunc(t.events, func(a, b Event) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Instance, b.Instance))
@@ -168,7 +166,7 @@
 	return t.events
 }
 
-// Skipped returns how many lines named the job but couldn't be read.
+// Skipped returns the number of lines that contain the job's id but couldn't be parsed.
 func (t *Timeline) Skipped() int {
 	return t.skipped
 }
--- a/usage/sizes.go
+++ b/usage/sizes.go
@@ -1,4 +1,4 @@
-// Package usage corrects declared sizes and run times by what was measured.
+// Package usage corrects declared sizes and run times by measurements.
 //
 // Usage:
 //
@@ -8,16 +8,15 @@
 //	s.Finished(now, "press/rebuild", declaredTime, took)
 //	left := s.Duration("press/rebuild", declaredTime)
 //
-// For each class and resource a Sizes keeps the ratio of measured to declared
-// as a moving mean and mean deviation. A need is the declared amount times the
-// mean plus a part of the deviation, since tasks seldom peak together; memory,
-// which can't be squeezed, also keeps a peak that decays slowly. The declared
-// amount counts as a number of measurements, so a class with few reports stays
-// near what was declared. Accelerators are whole devices and are taken as
-// declared.
+// For each class and resource a Sizes keeps the ratio of measured to declared amounts
+// as a moving mean and mean deviation. A need is the declared amount times the sum of
+// the mean and a part of the deviation, since tasks seldom peak together. Memory can't
+// be overcommitted, so its need also covers a peak that decays slowly. The declared
+// amount counts as a number of measurements, so that a class with few reports stays
+// near its declaration. Accelerators are whole devices, whose declared number is used.
 //
-// State is bounded: a fixed amount for each class, and WithMaxClasses classes,
-// of which the one without news for the longest goes first. A Sizes isn't safe
+// State is bounded: it has a fixed size for each class, and at most WithMaxClasses
+// classes, of which the least recently updated is evicted first. A Sizes isn't safe
 // for concurrent use.
 package usage
 
@@ -29,13 +28,13 @@
 )
 
 const (
-	smallestProcessors = 100 // thousandths of a core that a smaller declaration counts as
-	smallestMemory     = 64  // MiB, likewise
-	gain               = 0.05
-	peakDecay          = 0.999 // of the memory peak for each report
+	minDeclaredProcessors = 100 // lower bound of a declaration in a ratio, thousandths of a core
+	minDeclaredMemory     = 64  // likewise, MiB
+	smoothing             = 0.05
+	peakDecay             = 0.999 // factor of the memory peak for each report
 )
 
-// Sizes learns the real sizes of classes of tasks.
+// Sizes learns the actual sizes of classes of tasks.
 type Sizes struct {
 	options
 	classes map[string]*class
@@ -50,7 +49,7 @@
 	updated    time.Time
 }
 
-// New returns a Sizes that takes every declaration as it is.
+// New returns a Sizes without measurements.
 func New(opts ...Option) *Sizes {
 	s := &Sizes{options: defaults(), classes: map[string]*class{}}
 	for _, opt := range opts {
@@ -59,23 +58,24 @@
 	return s
 }
 
-// Observe takes what a running task was measured to use and reports whether
-// it counted. Negative amounts are counted as ignored. Leave out what a
-// throttled task was measured to use: it isn't what the task needs.
+// Observe adds a measurement of a running task's usage and reports whether it is valid.
+// Negative amounts are counted as ignored. Measurements of throttled tasks must not be
+// passed, since their usage is below their need.
 func (s *Sizes) Observe(now time.Time, name string, declared, used resource.Vector) bool {
 	if used.IsNegative() || declared.IsNegative() {
 		s.ignored++
 		return false
 	}
 	c := s.class(now, name)
-	c.processors.add(s.quotient(used.Processors, declared.Processors, smallestProcessors))
-	memory := s.quotient(used.Memory, declared.Memory, smallestMemory)
+	c.processors.add(s.quotient(used.Processors, declared.Processors, minDeclaredProcessors))
+	memory := s.quotient(used.Memory, declared.Memory, minDeclaredMemory)
 	c.memory.add(memory)
 	c.peak = max(c.peak*peakDecay, memory)
 	return true
 }
 
-// Finished takes how long a task ran at full speed from start to end.
+// Finished adds the run time of a task that ran at full speed from start to end. It
+// reports whether the run time is valid.
 func (s *Sizes) Finished(now time.Time, name string, declared, took time.Duration) bool {
 	if declared < 0 || took <= 0 {
 		s.ignored++
@@ -85,31 +85,31 @@
 	return true
 }
 
-// Need returns what a task of the class should be given. It is never more
-// than WithBound times off the declared amount.
+// Need returns the estimated need of a task of the class. It differs from the declared
+// amount by a factor of at most WithBound.
 func (s *Sizes) Need(name string, declared resource.Vector) resource.Vector {
 	c := s.classes[name]
 	if c == nil || c.processors.count == 0 {
 		return declared
 	}
-	memory := c.memory.high(s.prior, s.margin)
+	memory := c.memory.upperEstimate(s.prior, s.margin)
 	return resource.Vector{
-		Processors:   scale(declared.Processors, c.processors.high(s.prior, s.margin)),
-		Memory:       scale(declared.Memory, max(memory, c.memory.blend(s.prior, c.peak))),
+		Processors:   scale(declared.Processors, c.processors.upperEstimate(s.prior, s.margin)),
+		Memory:       scale(declared.Memory, max(memory, c.memory.shrink(s.prior, c.peak))),
 		Accelerators: declared.Accelerators,
 	}
 }
 
-// Duration returns how long a task of the class is expected to run in all.
+// Duration returns the expected total run time of a task of the class.
 func (s *Sizes) Duration(name string, declared time.Duration) time.Duration {
 	c := s.classes[name]
 	if c == nil || c.duration.count == 0 {
 		return declared
 	}
-	return time.Duration(scale(int64(declared), c.duration.high(s.prior, 0)))
+	return time.Duration(scale(int64(declared), c.duration.upperEstimate(s.prior, 0)))
 }
 
-// Ignored returns how many bad measurements were counted.
+// Ignored returns the number of invalid measurements.
 func (s *Sizes) Ignored() uint64 {
 	return s.ignored
 }
@@ -117,7 +117,7 @@
 func (s *Sizes) class(now time.Time, name string) *class {
 	c := s.classes[name]
 	if c == nil {
-		s.shed()
+		s.evictOldest()
 		c = &class{}
 		s.classes[name] = c
 	}
@@ -125,7 +125,7 @@
 	return c
 }
 
-func (s *Sizes) shed() {
+func (s *Sizes) evictOldest() {
 	if len(s.classes) < s.maxClasses {
 		return
 	}
--- a/usage/sizes_test.go
+++ b/usage/sizes_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Symptom: a worker runs out of memory although all needs fit.
-// Sequence: a class peaks seldom, its mean is low, many tasks are packed.
-// Cause: memory, unlike processors, can't be squeezed at the peak.
+// Guards against a worker that runs out of memory although all needs fit: a class seldom
+// peaks and has a low mean, but unlike processors memory can't be overcommitted at the
+// peak.
 func TestMemoryKeepsItsPeak(t *testing.T) {
 	is := is.New(t)
 	s := usage.New()
@@ -93,6 +93,6 @@
 	for i := range 30 {
 		s.Observe(now.Add(time.Duration(i)*time.Second), fmt.Sprint(i), declared, half)
 	}
-	is.Equal(s.Need("19", declared), declared)  // shed
+	is.Equal(s.Need("19", declared), declared)  // evicted
 	is.True(s.Need("20", declared) != declared) // kept
 }
