--- a/colocation/colocation.go
+++ b/colocation/colocation.go
@@ -150,11 +150,11 @@
 
 // maxWeight returns the largest weight of a filling image on any image of the set.
 func (s *Set) maxWeight(fill string) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, image := range s.images {
-		most = max(most, s.plan.weight(image, fill))
+		largest = max(largest, s.plan.weight(image, fill))
 	}
-	return most
+	return largest
 }
 
 // Spoiled returns the largest gain of moving some of a worker's images away, divided by
--- a/colocation/colocation_test.go
+++ b/colocation/colocation_test.go
@@ -11,8 +11,8 @@
 // weight models two kinds of serving images: a1 and a2 are sensitive to rebuilds, b to
 // scans, and none to copies.
 func weight(served, fill string) float64 {
-	minds := map[string]string{"a1": "rebuild", "a2": "rebuild", "b": "scan"}
-	if minds[served] == fill {
+	sensitiveTo := map[string]string{"a1": "rebuild", "a2": "rebuild", "b": "scan"}
+	if sensitiveTo[served] == fill {
 		return 12
 	}
 	return 1
@@ -33,22 +33,22 @@
 		name   string
 		beside []string
 		image  string
-		least  float64
-		most   float64
+		min    float64
+		max    float64
 	}{
-		{"its like", []string{"a1"}, "a1", 0, 0},
-		{"another image that minds the same", []string{"a1"}, "a2", 0, 0.001},
-		{"one that minds what is wanted most, on one of the few that bear it", []string{"b"}, "a1", 1, 2},
-		{"one that minds little that is wanted, on one of many", []string{"a1"}, "b", 0.01, 0.1},
-		{"where both kinds stand already", []string{"a1", "b"}, "a2", 0, 0.001},
+		{"the same image", []string{"a1"}, "a1", 0, 0},
+		{"another image of the same kind", []string{"a1"}, "a2", 0, 0.001},
+		{"the common kind on a scarce worker, which tolerates the image in demand", []string{"b"}, "a1", 1, 2},
+		{"the scarce kind on a common worker", []string{"a1"}, "b", 0.01, 0.1},
+		{"a worker with both kinds", []string{"a1", "b"}, "a2", 0, 0.001},
 		{"an empty worker", nil, "a1", 1, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			loss := newPlan().Set(test.beside).Loss(test.image)
-			is.True(loss >= test.least)
-			is.True(loss <= test.most)
+			is.True(loss >= test.min)
+			is.True(loss <= test.max)
 		})
 	}
 }
--- a/delay/delay.go
+++ b/delay/delay.go
@@ -5,7 +5,7 @@
 //
 //	var a delay.Account
 //	a.Add(delay.Room, 300*time.Millisecond)
-//	cause, most := a.Largest()
+//	cause, longest := a.Largest()
 //
 // An Account belongs to one task, or to the critical path of a job: the last task to end
 // of each step that the job waited for.
--- a/delay/delay_test.go
+++ b/delay/delay_test.go
@@ -12,17 +12,17 @@
 func TestAccount(t *testing.T) {
 	is := is.New(t)
 	var first, second delay.Account
-	cause, most := first.Largest()
+	cause, longest := first.Largest()
 	is.Equal(cause, delay.None)
-	is.Equal(most, time.Duration(0))
+	is.Equal(longest, time.Duration(0))
 	first.Add(delay.Room, 200*time.Millisecond)
 	first.Add(delay.Longer, -time.Second) // ran shorter than estimated
 	second.Add(delay.Failed, 150*time.Millisecond)
 	second.Add(delay.Failed, 100*time.Millisecond)
 	first.Join(&second)
-	cause, most = first.Largest()
+	cause, longest = first.Largest()
 	is.Equal(cause.String(), "failed")
-	is.Equal(most, 250*time.Millisecond)
+	is.Equal(longest, 250*time.Millisecond)
 	is.Equal(first.Of(delay.Room), 200*time.Millisecond)
 	is.Equal(first.Of(delay.Longer), time.Duration(0))
 }
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -135,13 +135,13 @@
 
 // New returns a Dispatcher on a platform.
 func New(p Platform, opts ...Option) *Dispatcher {
-	begun := time.Now()
+	startedAt := time.Now()
 	d := &Dispatcher{
 		platform:        p,
 		nonce:           rand.Uint64(),
 		timing:          cell.DefaultTiming(),
 		logger:          zap.NewNop(),
-		clock:           func() time.Duration { return time.Since(begun) },
+		clock:           func() time.Duration { return time.Since(startedAt) },
 		catalog:         catalog.New(),
 		inputs:          make(chan cell.Input, 4096),
 		updated:         make(chan struct{}, 1),
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -43,8 +43,8 @@
 
 const maxQueueTime = 2 * time.Second
 
-func newSlowStore(each time.Duration) *slowStore {
-	return &slowStore{streams: make(map[string]*stream), writeTime: each}
+func newSlowStore(writeTime time.Duration) *slowStore {
+	return &slowStore{streams: make(map[string]*stream), writeTime: writeTime}
 }
 
 func (s *slowStore) stream(name string) *stream {
@@ -273,14 +273,14 @@
 		store.refuse = true
 		store.writes = 0
 		store.mu.Unlock()
-		begun := time.Now()
+		startedAt := time.Now()
 		err := all[0].Submit(ctx, newJob(1))
 		is.True(fault.Is(err, fault.Unavailable))
-		is.True(time.Since(begun) < 200*time.Millisecond)
-		begun = time.Now()
+		is.True(time.Since(startedAt) < 200*time.Millisecond)
+		startedAt = time.Now()
 		err = all[0].Submit(ctx, newJob(2))
 		is.True(fault.Is(err, fault.Unavailable))
-		is.Equal(time.Since(begun), time.Duration(0)) // rejected without a write
+		is.Equal(time.Since(startedAt), time.Duration(0)) // rejected without a write
 		cancel()
 		synctest.Wait()
 	})
@@ -382,8 +382,8 @@
 
 // newClock returns a clock that begins now.
 func newClock() func() time.Duration {
-	begun := time.Now()
-	return func() time.Duration { return time.Since(begun) }
+	startedAt := time.Now()
+	return func() time.Duration { return time.Since(startedAt) }
 }
 
 // sendListPeriodically passes the list of workers to d every 300 ms, as the periodic reader does.
@@ -421,8 +421,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		begun := time.Now()
-		clock := func() time.Duration { return 30*time.Second + time.Since(begun) }
+		startedAt := time.Now()
+		clock := func() time.Duration { return 30*time.Second + time.Since(startedAt) }
 		owning := make(chan bool, 1)
 		workers := &unresponsiveWorkers{}
 		d := dispatcher.New(dispatcher.Platform{Store: newSlowStore(2 * time.Millisecond), Executor: workers},
@@ -494,9 +494,9 @@
 		}
 		d := start(ctx, store, 1)[0]
 		time.Sleep(100 * time.Millisecond)
-		begun, err := catalog.ProgressRecord(newJob(1).ID, &progress.Progress{State: progress.Running, Claimed: true})
+		running, err := catalog.ProgressRecord(newJob(1).ID, &progress.Progress{State: progress.Running, Claimed: true})
 		is.NoErr(err)
-		is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 2}, []provider.KeyedRecord{begun}))
+		is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 2}, []provider.KeyedRecord{running}))
 		time.Sleep(4 * time.Second)
 		d.Configure(queue.New(2, queue.Limits{}, nil, nil)) // notifies the control goroutine
 		time.Sleep(time.Second)
@@ -505,7 +505,7 @@
 		store.setUnreadable("")
 		time.Sleep(2 * time.Second)
 		is.True(d.Owning())
-		is.Equal(store.newest(catalog.Progress, begun.Key), begun.Value)
+		is.Equal(store.newest(catalog.Progress, running.Key), running.Value)
 		cancel()
 		synctest.Wait()
 	})
@@ -550,12 +550,12 @@
 		name     string
 		backlog  *overload.Backlog
 		accepted bool
-		room     bool // for lasting jobs
+		hasRoom  bool // for lasting jobs
 	}{
 		{"it lags", &overload.Backlog{Rate: 100, Tasks: map[int]int{0: 3000}}, false, true},
-		{"what is less urgent waits", &overload.Backlog{Rate: 100, Tasks: map[int]int{1: 3000}}, true, true},
+		{"less urgent tasks wait", &overload.Backlog{Rate: 100, Tasks: map[int]int{1: 3000}}, true, true},
 		{"it keeps up", nil, true, true},
-		{"its workers have no room", &overload.Backlog{Full: map[string]int{"pool": 0}}, true, false},
+		{"its workers have no free capacity", &overload.Backlog{Full: map[string]int{"pool": 0}}, true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -573,10 +573,10 @@
 				d := start(ctx, store, 1)[0]
 				time.Sleep(700 * time.Millisecond)                                            // two reads
 				is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{known})) // by another instance just now
-				begun := time.Now()
+				startedAt := time.Now()
 				err = d.Submit(ctx, newJob(1))
 				is.Equal(err == nil, test.accepted)
-				is.True(time.Since(begun) < 50*time.Millisecond)
+				is.True(time.Since(startedAt) < 50*time.Millisecond)
 				if err != nil {
 					is.True(fault.Is(err, fault.Overloaded))
 					var e *fault.Error
@@ -588,7 +588,7 @@
 				lasting := newJob(4)
 				lasting.Steps[0].Lasting = true
 				lasting.Terms.Service = "pool"
-				is.Equal(d.Submit(ctx, lasting) == nil, test.accepted && test.room)
+				is.Equal(d.Submit(ctx, lasting) == nil, test.accepted && test.hasRoom)
 				lasting = newJob(5)
 				lasting.Steps[0].Lasting = true
 				lasting.Terms.Service = "other"
@@ -620,10 +620,10 @@
 		waited := submit(ctx, d, 3, 90*time.Millisecond) // behind the writes in flight
 		is.True(fault.Is(waited, fault.Unavailable))
 		time.Sleep(700 * time.Millisecond)
-		begun := time.Now()
+		startedAt := time.Now()
 		late := submit(ctx, d, 4, 3*time.Second)
 		is.True(fault.Is(late, fault.Unavailable))
-		is.Equal(time.Since(begun), time.Duration(0))
+		is.Equal(time.Since(startedAt), time.Duration(0))
 		for range cap(first) {
 			is.True(fault.Is(<-first, fault.MayHaveRun)) // these were sent
 		}
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -242,13 +242,13 @@
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	err = d.admit(ctx, j)
 	if err == nil {
 		err = d.intake.write(ctx, record)
 	}
-	d.counters.recordAccept(time.Since(begun), err)
-	d.logger.Info("accept", zap.String("job", j.ID), zap.String("queue", j.Queue), zap.Duration("took", time.Since(begun)), zap.Error(err))
+	d.counters.recordAccept(time.Since(startedAt), err)
+	d.logger.Info("accept", zap.String("job", j.ID), zap.String("queue", j.Queue), zap.Duration("took", time.Since(startedAt)), zap.Error(err))
 	if err != nil {
 		return err
 	}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -22,9 +22,9 @@
 		age        time.Duration
 		claims     bool
 	}{
-		{"the owner writes", owner, 1, 400 * time.Millisecond, 0, false},
+		{"the owner sends heartbeats", owner, 1, 400 * time.Millisecond, 0, false},
 		{"the owner is silent", owner, 1, 1700 * time.Millisecond, 0, true},
-		{"this instance can't tell", owner, 1, 5 * time.Second, 2 * time.Second, false},
+		{"the last read is too old", owner, 1, 5 * time.Second, 2 * time.Second, false},
 		{"there is no owner", catalog.Owner{}, 1, 100 * time.Millisecond, 0, true},
 		{"the owner leaves", catalog.Owner{Term: 3, Instance: "e2", Leaving: true}, 1, 50 * time.Millisecond, 0, true},
 		{"this instance was the owner before it restarted", catalog.Owner{Term: 3, Instance: "e1", Nonce: 6}, 1, 50 * time.Millisecond, 0, true},
--- a/interference/bound.go
+++ b/interference/bound.go
@@ -76,9 +76,9 @@
 	return keys
 }
 
-func (e *Estimator) evictOldest(keys []pairKey, most int) {
+func (e *Estimator) evictOldest(keys []pairKey, limit int) {
 	slices.SortFunc(keys, byAge)
-	keep := int(float64(most) * evictionTarget)
+	keep := int(float64(limit) * evictionTarget)
 	for _, k := range keys[:len(keys)-keep] {
 		e.removePair(k.victim, k.culprit)
 	}
--- a/interference/estimator_test.go
+++ b/interference/estimator_test.go
@@ -324,7 +324,7 @@
 		name    string
 		option  interference.Option
 		measure func(interference.State) int
-		most    int
+		limit   int
 	}{
 		{"pairs", interference.WithMaxPairs(40), pairs, 40},
 		{"culprits of each service", interference.WithMaxCulprits(16), pairs, 10 * 16},
@@ -343,7 +343,7 @@
 				w.now = w.now.Add(interval)
 				w.e.Observe(w.now, worker, usage(replica.ID, w.now, time.Millisecond))
 				w.e.Removed(w.now, worker, job)
-				is.True(c.measure(w.e.State(w.now)) <= c.most)
+				is.True(c.measure(w.e.State(w.now)) <= c.limit)
 			}
 		})
 	}
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -13,16 +13,16 @@
 func TestCheck(t *testing.T) {
 	one := []job.Step{{Count: 1}}
 	tests := []struct {
-		name string
-		job  job.Job
-		says string // part of the error, empty for a valid job
+		name    string
+		job     job.Job
+		wantErr string // part of the error, empty for a valid job
 	}{
-		{"sound", job.Job{Steps: []job.Step{{Count: 2}, {Count: 1, After: []int{0}}}}, ""},
+		{"valid", job.Job{Steps: []job.Step{{Count: 2}, {Count: 1, After: []int{0}}}}, ""},
 		{"no steps", job.Job{}, "1 to 256 steps"},
 		{"no tasks", job.Job{Steps: []job.Step{{}}}, "step 0: count 0"},
 		{"depends on itself", job.Job{Steps: []job.Step{{Count: 1, After: []int{0}}}}, "step 0 depends on step 0"},
 		{"depends on a later step", job.Job{Steps: []job.Step{{Count: 1, After: []int{1}}, {Count: 1}}}, "depends on step 1"},
-		{"depends on nothing known", job.Job{Steps: []job.Step{{Count: 1, After: []int{-1}}}}, "depends on step -1"},
+		{"depends on an unknown step", job.Job{Steps: []job.Step{{Count: 1, After: []int{-1}}}}, "depends on step -1"},
 		{"too many tasks", job.Job{Steps: []job.Step{{Count: 20_000}, {Count: 1}}}, "20001 tasks"},
 		{"a long command", job.Job{Spec: strings.Repeat("x", 4001), Steps: one}, "4001 bytes"},
 		{"negative times", job.Job{Times: -1, Steps: one}, "-1 occurrences"},
@@ -32,12 +32,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			err := test.job.Check()
-			if test.says == "" {
+			if test.wantErr == "" {
 				is.NoErr(err)
 				return
 			}
 			is.True(fault.Is(err, fault.Invalid))
-			is.True(strings.Contains(err.Error(), test.says))
+			is.True(strings.Contains(err.Error(), test.wantErr))
 		})
 	}
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -18,7 +18,7 @@
 	perSecond float64 // maximum rate of starts
 	credit    float64
 	waiting   []time.Duration // arrival times of the waiting tasks
-	room      int             // tasks that fit into the workers' free capacity
+	capacity  int             // tasks that fit into the workers' free capacity
 	started   int
 	maxWait   time.Duration // longest wait of a task
 }
@@ -36,7 +36,7 @@
 	o.now += passInterval
 	added := o.perSecond * passInterval.Seconds()
 	o.credit = min(o.credit+added, added+1)
-	n := min(len(o.waiting), o.room, int(o.credit))
+	n := min(len(o.waiting), o.capacity, int(o.credit))
 	for _, since := range o.waiting[:n] {
 		o.gauge.Started()
 		o.maxWait = max(o.maxWait, o.now-since)
@@ -44,8 +44,8 @@
 	o.started += n
 	o.waiting = o.waiting[n:]
 	o.credit -= float64(n)
-	o.room -= n
-	o.gauge.Looked(o.now, len(o.waiting) > 0 && o.room > 0)
+	o.capacity -= n
+	o.gauge.Looked(o.now, len(o.waiting) > 0 && o.capacity > 0)
 }
 
 // backlog returns the backlog that the owner would write.
@@ -61,20 +61,20 @@
 	tests := []struct {
 		name      string
 		perSecond float64
-		room      int
+		capacity  int
 		waiting   int
 		min, max  time.Duration
 	}{
 		{"keeps up", 3000, 1 << 20, 100, 0, 0},
-		{"a backlog of its own", 400, 1 << 20, 2000, 3 * time.Second, 5 * time.Second},
+		{"the owner lags", 400, 1 << 20, 2000, 3 * time.Second, 5 * time.Second},
 		{"a burst", 3000, 1 << 20, 3000, 0, time.Second},
-		{"workers have no room", 400, 50, 2000, 0, 0},
-		{"nothing is ordered", 0, 100, 100, 10 * time.Second, 10 * time.Second},
+		{"workers have no free capacity", 400, 50, 2000, 0, 0},
+		{"no starts", 0, 100, 100, 10 * time.Second, 10 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			o := owner{perSecond: test.perSecond, room: test.room}
+			o := owner{perSecond: test.perSecond, capacity: test.capacity}
 			o.submit(test.waiting)
 			for o.now < time.Second {
 				o.schedule()
@@ -107,13 +107,13 @@
 		want   bool
 	}{
 		{"no lag", 0, 1000, 1, false},
-		{"bearable", 1500 * time.Millisecond, 1000, 1, false},
+		{"tolerated", 1500 * time.Millisecond, 1000, 1, false},
 		{"half are accepted", between, 32, 0.49, false},
 		{"half are rejected", between, 32, 0.51, true},
 		{"a quarter of larger ones is accepted", between, 64, 0.26, true},
 		{"a quarter of larger ones is accepted", between, 64, 0.24, false},
 		{"most small ones are accepted", between, 8, 0.83, false},
-		{"hopeless", 6 * time.Second, 1, 0, true},
+		{"reject all", 6 * time.Second, 1, 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(1, 2))
-			o := owner{perSecond: test.perSecond, room: 1 << 30}
+			o := owner{perSecond: test.perSecond, capacity: 1 << 30}
 			written := make(map[time.Duration]*overload.Backlog) // other instances read it half a second later
 			jobs, rejected := map[int]float64{}, map[int]float64{}
 			next := 14
@@ -168,7 +168,7 @@
 				}
 			}
 			small, large := rejected[14]/jobs[14], rejected[80]/jobs[80]
-			t.Logf("rejected: %.2f of the small, %.2f of the large; %v waited for at the most", small, large, o.maxWait)
+			t.Logf("rejected: %.2f of the small, %.2f of the large; longest wait %v", small, large, o.maxWait)
 			is.True(small >= test.small[0] && small <= test.small[1])
 			is.True(large >= test.large[0] && large <= test.large[1])
 			is.True(o.maxWait <= test.maxWait)
@@ -187,9 +187,9 @@
 	}{
 		{"nothing waits", nil, 0, false},
 		{"a wide step", map[int]int64{0: 2000}, 0, false},
-		{"more", map[int]int64{0: 2100}, 0, true},
-		{"of less urgent jobs", map[int]int64{0: 1000, 2: 3000}, 2, true},
-		{"of both together", map[int]int64{0: 1500, 2: 1500}, 2, true},
+		{"more than a wide step", map[int]int64{0: 2100}, 0, true},
+		{"less urgent jobs", map[int]int64{0: 1000, 2: 3000}, 2, true},
+		{"the sum of both priorities", map[int]int64{0: 1500, 2: 1500}, 2, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/pressure/pressure.go
+++ b/pressure/pressure.go
@@ -242,21 +242,21 @@
 // Cost returns the slack that another filling task would take from a worker's serving
 // tasks, as the largest fraction of a task's remaining slack.
 func (e *Estimator) Cost(room []Room, image string, share float64) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, r := range room {
-		most = max(most, e.Weight(r.Image, image)*share/max(minPeakSlack, r.Slack))
+		largest = max(largest, e.Weight(r.Image, image)*share/max(minPeakSlack, r.Slack))
 	}
-	return most
+	return largest
 }
 
 // Most returns the largest slack that another filling task would take from one of a
 // worker's serving tasks.
 func (e *Estimator) Most(room []Room, image string, share float64) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, r := range room {
-		most = max(most, e.Weight(r.Image, image)*share)
+		largest = max(largest, e.Weight(r.Image, image)*share)
 	}
-	return most
+	return largest
 }
 
 // Add updates room for a filling task that was just started.
--- a/pressure/trend.go
+++ b/pressure/trend.go
@@ -78,6 +78,6 @@
 	return clamp(t.value+t.slope*d.Seconds(), minBase, maxBase)
 }
 
-func clamp(x, least, most float64) float64 {
-	return max(least, min(most, x))
+func clamp(x, lo, hi float64) float64 {
+	return max(lo, min(hi, x))
 }
--- a/progress/progress.go
+++ b/progress/progress.go
@@ -131,7 +131,7 @@
 	return n/8 < len(done) && done[n/8]&(1<<(n%8)) != 0
 }
 
-// Done records that a task has succeeded. It reports whether that is a change.
+// Done records that a task has succeeded. It reports whether the record changed.
 func (p *Progress) Done(t job.Task) bool {
 	if p.IsDone(t) {
 		return false
@@ -157,7 +157,7 @@
 	}
 }
 
-// Fail records a failed attempt at a task. It reports whether that is a change. A worker
+// Fail records a failed attempt at a task. It reports whether the record changed. A worker
 // repeats the end of an attempt until it is acknowledged, also to the next owner;
 // counting it twice would fail the job too early.
 func (p *Progress) Fail(t job.Task, attempt uint64) bool {
@@ -179,8 +179,8 @@
 	return len(p.Rounds[t.Occurrence].Failed[p.taskNumber(t)])
 }
 
-// Save records the checkpoint of an interrupted task. It reports whether that is a
-// change.
+// Save records the checkpoint of an interrupted task. It reports whether the record
+// changed.
 func (p *Progress) Save(t job.Task, checkpoint string) bool {
 	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
--- a/ranking/ranking.go
+++ b/ranking/ranking.go
@@ -36,13 +36,13 @@
 // caller any more.
 const lateFactor = 3
 
-// StandingOf returns the standing of a job that began to wait at begun and has to
+// StandingOf returns the standing of a job that began to wait at waitingSince and has to
 // continue by due to meet its objective.
-func StandingOf(now, begun, due, objective time.Duration) Standing {
+func StandingOf(now, waitingSince, due, objective time.Duration) Standing {
 	switch {
 	case now <= due:
 		return InTime
-	case now <= begun+lateFactor*objective:
+	case now <= waitingSince+lateFactor*objective:
 		return Late
 	}
 	return TooLate
--- a/ranking/ranking_test.go
+++ b/ranking/ranking_test.go
@@ -43,7 +43,7 @@
 // request is a job of one task in the model.
 type request struct {
 	arrived, length, estimate time.Duration
-	begun                     time.Duration
+	startedAt                 time.Duration
 }
 
 func (r *request) objective() time.Duration { return 2*r.estimate + time.Second }
@@ -54,7 +54,7 @@
 }
 
 func (r *request) inTime() bool {
-	return r.begun > 0 && r.begun+r.length <= r.arrived+2*r.length+time.Second
+	return r.startedAt > 0 && r.startedAt+r.length <= r.arrived+2*r.length+time.Second
 }
 
 const (
@@ -87,7 +87,7 @@
 		slices.SortStableFunc(waiting, func(a, b *request) int { return o.Compare(a.rank(now), b.rank(now)) })
 		n := min(len(waiting), slots-len(ends))
 		for _, r := range waiting[:n] {
-			r.begun = now
+			r.startedAt = now
 			ends = append(ends, now+r.length)
 		}
 		waiting = slices.Delete(waiting, 0, n)
@@ -119,12 +119,12 @@
 	tests := []struct {
 		name string
 		load float64
-		gain float64 // of the share in time, at least
+		gain float64 // minimum gain of the share in time
 	}{
-		{"room for all", 0.8, -0.001},
-		{"as much as can be done", 1, -0.01},
-		{"a third too much", 1.33, 0.1},
-		{"twice what can be done", 2, 0.1},
+		{"enough capacity", 0.8, -0.001},
+		{"load equal to the capacity", 1, -0.01},
+		{"a third above the capacity", 1.33, 0.1},
+		{"twice the capacity", 2, 0.1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/usage/sizes_test.go
+++ b/usage/sizes_test.go
@@ -21,8 +21,8 @@
 		name  string
 		used  resource.Vector
 		times int
-		least resource.Vector
-		most  resource.Vector
+		min   resource.Vector
+		max   resource.Vector
 	}{
 		{"none keep the declaration", resource.Vector{}, 0, declared, declared},
 		{"one moves it a little", resource.Vector{Processors: 1000, Memory: 2000}, 1,
@@ -42,8 +42,8 @@
 				is.True(s.Observe(now, "press/rebuild", declared, c.used))
 			}
 			need := s.Need("press/rebuild", declared)
-			is.True(c.least.Fits(need)) // not below the least
-			is.True(need.Fits(c.most))  // not above the most
+			is.True(c.min.Fits(need)) // need >= min
+			is.True(need.Fits(c.max)) // need <= max
 			is.Equal(s.Need("another", declared), declared)
 		})
 	}
