--- a/loss/loss_test.go
+++ b/loss/loss_test.go
@@ -42,9 +42,9 @@
 `)
 }
 
-// TestReportTellsWhatIsMissing guards against a partial report that looks complete: lines
+// TestReportCountsOmittedLines guards against a partial report that looks complete: lines
 // omitted from the logs must be counted.
-func TestReportTellsWhatIsMissing(t *testing.T) {
+func TestReportCountsOmittedLines(t *testing.T) {
 	is := is.New(t)
 	table := loss.New()
 	is.NoErr(table.Read("e1.log", strings.NewReader(log)))
