--- a/loss/loss_test.go
+++ b/loss/loss_test.go
@@ -42,9 +42,9 @@
 `)
 }
 
-// What logs leave out is told, so that an account of a part isn't read as one
-// of the whole.
-func TestReportTellsWhatIsMissing(t *testing.T) {
+// TestReportCountsOmittedLines guards against a partial report that looks complete: lines
+// omitted from the logs must be counted.
+func TestReportCountsOmittedLines(t *testing.T) {
 	is := is.New(t)
 	table := loss.New()
 	is.NoErr(table.Read("e1.log", strings.NewReader(log)))
--- a/usage/sizes_test.go
+++ b/usage/sizes_test.go
@@ -21,8 +21,8 @@
 		name  string
 		used  resource.Vector
 		times int
-		least resource.Vector
-		most  resource.Vector
+		min   resource.Vector
+		max   resource.Vector
 	}{
 		{"none keep the declaration", resource.Vector{}, 0, declared, declared},
 		{"one moves it a little", resource.Vector{Processors: 1000, Memory: 2000}, 1,
@@ -42,16 +42,16 @@
 				is.True(s.Observe(now, "press/rebuild", declared, c.used))
 			}
 			need := s.Need("press/rebuild", declared)
-			is.True(c.least.Fits(need)) // not below the least
-			is.True(need.Fits(c.most))  // not above the most
+			is.True(c.min.Fits(need)) // need >= min
+			is.True(need.Fits(c.max)) // need <= max
 			is.Equal(s.Need("another", declared), declared)
 		})
 	}
 }
 
-// Symptom: a worker runs out of memory although all needs fit.
-// Sequence: a class peaks seldom, its mean is low, many tasks are packed.
-// Cause: memory, unlike processors, can't be squeezed at the peak.
+// Guards against a worker that runs out of memory although all needs fit: a class seldom
+// peaks and has a low mean, but unlike processors memory can't be overcommitted at the
+// peak.
 func TestMemoryKeepsItsPeak(t *testing.T) {
 	is := is.New(t)
 	s := usage.New()
@@ -93,6 +93,6 @@
 	for i := range 30 {
 		s.Observe(now.Add(time.Duration(i)*time.Second), fmt.Sprint(i), declared, half)
 	}
-	is.Equal(s.Need("19", declared), declared)  // shed
+	is.Equal(s.Need("19", declared), declared)  // evicted
 	is.True(s.Need("20", declared) != declared) // kept
 }
