--- a/relay/agent/agent.go
+++ b/relay/agent/agent.go
@@ -1,15 +1,15 @@
-// Package agent carries out the orders that the owner of a cell sends through
-// this instance to workers near it.
+// Package agent forwards the orders that the owner of a cell sends through this
+// instance to workers in its availability zone.
 //
 // Usage:
 //
 //	a := agent.New("edge-1", executor)
 //	mux.Handle(wire.Path, a)
-//	a.Leave() // owners send their orders another way from now on
+//	a.Leave() // owners use other routes from now on
 //
-// An Agent decides nothing and keeps nothing: each order carries the owner's
-// token and deadline, which the worker checks, and its outcome goes back as it is.
-// When the connection ends, what is under way for it ends too.
+// An Agent makes no decisions and stores no state: each order carries the owner's
+// token and deadline, which the worker checks, and its outcome is returned unchanged.
+// When a connection ends, its orders in flight are cancelled.
 package agent
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/dogwoodladder/dogwoodladder/relay/wire"
 )
 
-// Agent takes the connections of owners. It is safe for concurrent use.
+// Agent serves the connections of owners. It is safe for concurrent use.
 type Agent struct {
 	instance string
 	executor provider.Executor
@@ -39,25 +39,25 @@
 // Option changes an Agent.
 type Option func(*Agent)
 
-// WithLogger sets where connections are logged; the default drops them.
+// WithLogger sets the logger for connections; the default logs nothing.
 func WithLogger(l *zap.Logger) Option {
 	return func(a *Agent) { a.logger = l }
 }
 
-// WithClock sets the clock by which an order is found to be late. It has to go
-// on while the machine is suspended.
+// WithClock sets the clock for the detection of late orders. It must include time in
+// which the machine is suspended.
 func WithClock(clock func() time.Duration) Option {
 	return func(a *Agent) { a.clock = clock }
 }
 
-// New returns an Agent of the instance named that orders through executor.
+// New returns an Agent for the named instance that forwards orders through executor.
 func New(instance string, executor provider.Executor, opts ...Option) *Agent {
-	begun := time.Now()
+	start := time.Now()
 	a := &Agent{
 		instance: instance,
 		executor: executor,
 		logger:   zap.NewNop(),
-		clock:    func() time.Duration { return time.Since(begun) },
+		clock:    func() time.Duration { return time.Since(start) },
 		sessions: make(map[*session]struct{}),
 	}
 	for _, opt := range opts {
@@ -66,7 +66,7 @@
 	return a
 }
 
-// ServeHTTP takes a connection, and returns when it ends.
+// ServeHTTP serves an owner's connection until it ends.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(wire.ToHeader) != a.instance {
 		http.Error(w, "this is "+a.instance, http.StatusMisdirectedRequest)
@@ -78,15 +78,15 @@
 		return
 	}
 	defer func() { _ = socket.CloseNow() }()
-	socket.SetReadLimit(wire.MaxFrame)
+	socket.SetReadLimit(wire.MaxMessageSize)
 	s := newSession(a, socket)
-	a.enter(s)
-	defer a.leave(s)
+	a.addSession(s)
+	defer a.removeSession(s)
 	err = s.run(r.Context())
 	a.logger.Debug("relay ended", zap.String("from", r.RemoteAddr), zap.Error(err))
 }
 
-func (a *Agent) enter(s *session) {
+func (a *Agent) addSession(s *session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sessions[s] = struct{}{}
@@ -95,7 +95,7 @@
 	}
 }
 
-func (a *Agent) leave(s *session) {
+func (a *Agent) removeSession(s *session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.sessions, s)
@@ -108,7 +108,7 @@
 	return len(a.sessions)
 }
 
-// Leave tells all owners to send their orders another way. Those that came are
+// Leave tells all owners to use other routes. Orders that have arrived are still
 // carried out.
 func (a *Agent) Leave() {
 	a.mu.Lock()
--- a/relay/agent/session.go
+++ b/relay/agent/session.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// orderTimeout is how long a worker may take for an answer, beside what it
-	// was allowed to wait. It is that of an owner that orders by itself.
+	// orderTimeout is how long a worker may take to answer, in addition to the wait of
+	// a hold. It equals the timeout of direct orders.
 	orderTimeout = 900 * time.Millisecond
-	// lateAfter is how much longer than the quickest one a message may have been on
-	// its way for its orders to be sent on.
+	// maxDelay is the longest transit time of a message, beyond that of the fastest
+	// one, for its orders to be forwarded.
 	//
-	// What goes wrong: this instance stands still, and goes on seconds later with
-	// what was sent to it meanwhile. The owner has ordered otherwise since, so that
-	// an old pace undoes a newer one. Starts would be refused by their deadline, but
-	// paces have none. It shows as orders that arrive seconds after they were given.
-	lateAfter = 500 * time.Millisecond
-	// writeTimeout is for a message to an owner that doesn't read.
+	// A frozen instance that resumes seconds later would otherwise forward the orders
+	// received meanwhile. The owner has sent newer ones by other routes since, so that
+	// an old pace would undo a newer one. Starts are refused by their deadline, but
+	// paces have none.
+	maxDelay = 500 * time.Millisecond
+	// writeTimeout bounds a write to an owner that doesn't read.
 	writeTimeout = 2 * time.Second
-	// idleAfter is how long an owner may send nothing. One that orders workers this
-	// way does so every two seconds at least. One that lost power ends nothing: its
-	// connections would stay for good, a few kilobytes each.
-	idleAfter = 30 * time.Second
-	// longestGap bounds how far apart an owner may ask for results. More would keep
-	// them from it for as long as it takes to pass this instance over.
-	longestGap = 100 * time.Millisecond
-	// mostOrders bounds the orders under way on one connection. An owner has one
-	// hold a worker under way and at most 256 starts.
-	mostOrders = 4096
+	// idleTimeout is how long an owner may send nothing. An active owner sends orders
+	// at least every two seconds. An owner that lost power doesn't close its
+	// connections, which would stay open forever, at a few kilobytes each.
+	idleTimeout = 30 * time.Second
+	// maxGap bounds the gap between results that an owner may request. A longer gap
+	// would delay results for as long as the owner takes to consider this instance
+	// silent.
+	maxGap = 100 * time.Millisecond
+	// maxOrders bounds the orders in flight on one connection. An owner has one hold
+	// per worker and at most 256 starts in flight.
+	maxOrders = 4096
 )
 
 // session is one owner's connection.
@@ -47,23 +48,23 @@
 	tomb   tomb.Tomb
 
 	// Owned by the reader.
-	hosts map[uint64]provider.Host
-	specs map[uint64]string
-	least time.Duration // difference of the two clocks by the quickest message
-	timed bool          // whether one has come
+	hosts              map[uint64]provider.Host
+	specs              map[uint64]string
+	minClockDifference time.Duration // smallest difference between the local clock and a message's timestamp
+	hasClockDifference bool          // whether minClockDifference is set
 
-	gap atomic.Int64 // least time between two messages to the owner, which asks for it; nanoseconds
+	gap atomic.Int64 // least time between two messages to the owner, requested by it, in nanoseconds
 
-	mu      sync.Mutex
-	results []outcome // that wait to be sent
-	open    int       // orders under way
-	leaving bool      // and the owner has to be told
-	wake    chan struct{}
+	mu          sync.Mutex
+	results     []queuedResult // queued for sending
+	numInFlight int            // number of orders in flight
+	leaving     bool           // the owner has to be told that this instance leaves
+	wake        chan struct{}
 }
 
-// outcome is a result, with the answer to a hold as it came. What is sent of it
-// depends on what was sent before.
-type outcome struct {
+// queuedResult is a result with the complete answer to a hold. The answer is encoded when it
+// is sent, as its difference from the one sent before.
+type queuedResult struct {
 	wire.Result
 	held *provider.Held
 }
@@ -87,10 +88,10 @@
 	return s.tomb.Wait()
 }
 
-// read takes orders until the connection ends.
+// read receives orders until the connection ends.
 func (s *session) read(ctx context.Context) error {
 	for {
-		data, err := s.next(ctx)
+		data, err := s.readMessage(ctx)
 		if err != nil {
 			return err
 		}
@@ -101,81 +102,82 @@
 		for _, h := range orders.Hosts {
 			s.hosts[h.Number] = provider.Host{ID: h.ID, Address: h.Address}
 		}
-		s.gap.Store(int64(min(time.Duration(orders.Gap)*time.Microsecond, longestGap)))
+		s.gap.Store(int64(min(time.Duration(orders.Gap)*time.Microsecond, maxGap)))
 		late := s.isLate(orders.Sent)
 		for i := range orders.Orders {
-			s.take(ctx, &orders.Orders[i], late)
+			s.handleOrder(ctx, &orders.Orders[i], late)
 		}
 	}
 }
 
-// next waits for a message.
-func (s *session) next(ctx context.Context) ([]byte, error) {
-	once, cancel := context.WithTimeout(ctx, idleAfter)
+// readMessage waits for a message.
+func (s *session) readMessage(ctx context.Context) ([]byte, error) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
-	_, data, err := s.socket.Read(once)
+	_, data, err := s.socket.Read(timeoutCtx)
 	if err != nil {
 		return nil, fault.Wrap(fault.Broken, err, "read orders")
 	}
 	return data, nil
 }
 
-// isLate reports whether a message was on its way for too long.
+// isLate reports whether a message was in transit for longer than maxDelay. Only
+// differences between the two clocks are compared, as they aren't synchronized.
 func (s *session) isLate(sent int64) bool {
 	difference := s.agent.clock() - time.Duration(sent)*time.Millisecond
-	if !s.timed || difference < s.least {
-		s.least = difference
-		s.timed = true
+	if !s.hasClockDifference || difference < s.minClockDifference {
+		s.minClockDifference = difference
+		s.hasClockDifference = true
 	}
-	return difference-s.least > lateAfter
+	return difference-s.minClockDifference > maxDelay
 }
 
-// take begins to carry out an order.
-func (s *session) take(ctx context.Context, o *wire.Order, late bool) {
+// handleOrder starts to carry out an order.
+func (s *session) handleOrder(ctx context.Context, o *wire.Order, late bool) {
 	if o.SpecText != "" {
 		s.specs[o.Spec] = o.SpecText
 	}
 	host, known := s.hosts[o.Host]
 	switch {
 	case !known:
-		s.answer(outcome{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "worker isn't known"}})
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "worker isn't known"}})
 		return
 	case late:
-		s.answer(outcome{Result: wire.Result{Number: o.Number, Outcome: wire.Late, Text: "late at the relay"}})
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.Late, Text: "late at the relay"}})
 		return
-	case !s.begin():
-		s.answer(outcome{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "too many orders at the relay"}})
+	case !s.beginOrder():
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "too many orders at the relay"}})
 		return
 	}
 	spec := s.specs[o.Spec]
 	s.tomb.Go(func() error {
-		defer s.end()
-		once, cancel := context.WithTimeout(ctx, time.Duration(o.Wait)*time.Millisecond+orderTimeout)
+		defer s.endOrder()
+		timeoutCtx, cancel := context.WithTimeout(ctx, time.Duration(o.Wait)*time.Millisecond+orderTimeout)
 		defer cancel()
-		s.answer(s.carryOut(once, host, spec, o))
+		s.queueResult(s.forward(timeoutCtx, host, spec, o))
 		return nil
 	})
 }
 
-func (s *session) begin() bool {
+func (s *session) beginOrder() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= mostOrders {
+	if s.numInFlight >= maxOrders {
 		return false
 	}
-	s.open++
+	s.numInFlight++
 	return true
 }
 
-func (s *session) end() {
+func (s *session) endOrder() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.numInFlight--
 }
 
-// carryOut sends an order on and returns its outcome.
-func (s *session) carryOut(ctx context.Context, host provider.Host, spec string, o *wire.Order) outcome {
-	out := outcome{Result: wire.Result{Number: o.Number, Host: o.Host}}
+// forward forwards an order to its worker and returns its outcome.
+func (s *session) forward(ctx context.Context, host provider.Host, spec string, o *wire.Order) queuedResult {
+	out := queuedResult{Result: wire.Result{Number: o.Number, Host: o.Host}}
 	run := provider.RunOrder{Host: host, Token: o.Token, Task: o.Task, Attempt: o.Attempt, Percent: o.Percent}
 	var err error
 	switch o.Kind {
@@ -216,7 +218,7 @@
 	return out
 }
 
-func (s *session) answer(o outcome) {
+func (s *session) queueResult(o queuedResult) {
 	s.mu.Lock()
 	s.results = append(s.results, o)
 	s.mu.Unlock()
@@ -237,9 +239,9 @@
 	}
 }
 
-// write sends results as they come, all that wait in one message.
+// write sends results until the session ends, all queued ones in one message.
 func (s *session) write(ctx context.Context) error {
-	lists := wire.NewLists()
+	lists := wire.NewRunLists()
 	var spacing wire.Spacing
 	for {
 		select {
@@ -248,14 +250,14 @@
 		case <-s.wake:
 		}
 		spacing.Wait(ctx, time.Duration(s.gap.Load()))
-		results, leaving := s.waiting()
+		results, leaving := s.takeQueued()
 		if len(results) == 0 && !leaving {
 			continue
 		}
 		message := wire.Results{Leaving: leaving}
 		for _, o := range results {
 			if o.held != nil {
-				o.Held = lists.Shrink(o.Host, *o.held)
+				o.Held = lists.Encode(o.Host, *o.held)
 			}
 			message.Results = append(message.Results, o.Result)
 		}
@@ -265,7 +267,7 @@
 	}
 }
 
-func (s *session) waiting() (results []outcome, leaving bool) {
+func (s *session) takeQueued() (results []queuedResult, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	results = s.results
@@ -278,9 +280,9 @@
 	if err != nil {
 		return err
 	}
-	once, cancel := context.WithTimeout(ctx, writeTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if err := s.socket.Write(once, websocket.MessageBinary, data); err != nil {
+	if err := s.socket.Write(timeoutCtx, websocket.MessageBinary, data); err != nil {
 		return fault.Wrap(fault.Broken, err, "send results")
 	}
 	return nil
--- a/relay/gap.go
+++ b/relay/gap.go
@@ -5,70 +5,70 @@
 	"time"
 )
 
-// gap decides how far apart the messages of a connection are, in each direction.
-// What comes in between goes together with the next message.
+// gap controls the least time between two messages of a connection, in each direction.
+// Orders and results that arrive in between are batched into the next message.
 //
-// What goes wrong without one: a message costs its sender and its receiver a call
-// and a wake-up, whatever it carries, and a small owner starts fewer tasks than it
-// could. What goes wrong with a gap that is always as long: each end, and the start
-// that follows it, wait for it, also where the owner has processors to spare. So the
-// gap follows the rate of messages, held against what this instance's processors carry.
+// Each message costs its sender and its receiver a system call and a wake-up, whatever
+// its size; without a gap a small owner starts fewer tasks than it could. A fixed gap
+// would delay each end of a task, and the start that follows it, even on an owner with
+// idle processors. The gap therefore follows the ratio of the message rate to the rate
+// that this instance's processors can handle.
 type gap struct {
-	most    float64      // messages a second, sent and received
-	nanos   atomic.Int64 // in force
-	counted int64        // messages so far, as of the last look
-	looked  time.Time
+	targetRate   float64      // target rate of messages per second, sent and received
+	value        atomic.Int64 // gap in force
+	lastCount    int64        // number of messages at the last adjustment
+	lastAdjusted time.Time
 }
 
 const (
-	// messagesPerCore is how many messages a second are left to a core, sent and
-	// received. The rest is for what the messages say.
+	// messagesPerCore is the target rate of messages per second and core, sent and
+	// received. The rest of the core's time is for processing their contents.
 	messagesPerCore = 4000
-	// leastGap is below the time that an order takes to a worker and back, 3 ms.
-	leastGap = time.Millisecond
-	// mostGap bounds what an end and the start that follows it wait. Above it the
-	// bound on starts without an answer takes over.
-	mostGap = 10 * time.Millisecond
-	// gapEvery is the time between two looks: bursts come within a second.
-	gapEvery = 200 * time.Millisecond
-	// quickestFall is the least part of a gap that one look leaves of it. It grows
-	// as far as it has to at once, since an owner that is behind stays behind.
-	quickestFall = 0.5
+	// minGap is below the round trip of an order to a worker, 3 ms.
+	minGap = time.Millisecond
+	// maxGap bounds the delay of an end and of the start that follows it. With a longer
+	// gap the bound on unanswered starts would limit the rate instead.
+	maxGap = 10 * time.Millisecond
+	// gapInterval is the time between two adjustments: bursts build up within a second.
+	gapInterval = 200 * time.Millisecond
+	// minGapFactor is the smallest factor by which one adjustment shrinks the gap.
+	// Growth is unlimited, since an overloaded owner doesn't catch up otherwise.
+	minGapFactor = 0.5
 )
 
-// newGap returns the gap of an instance with so many processors.
+// newGap returns the gap for an instance with the given number of processors.
 func newGap(processors float64) *gap {
-	g := &gap{most: processors * messagesPerCore}
+	g := &gap{targetRate: processors * messagesPerCore}
 	g.reset()
 	return g
 }
 
-// reset begins with the longest gap: a new owner has every worker to ask.
+// reset sets the longest gap, as a new owner sends a hold to every worker at once.
 func (g *gap) reset() {
-	g.nanos.Store(int64(mostGap))
+	g.value.Store(int64(maxGap))
 }
 
-// inForce returns the gap in force.
-func (g *gap) inForce() time.Duration {
-	return time.Duration(g.nanos.Load())
+// current returns the gap in force.
+func (g *gap) current() time.Duration {
+	return time.Duration(g.value.Load())
 }
 
-// look sets the gap by how many messages there were so far.
-func (g *gap) look(now time.Time, messages int64) {
-	passed := now.Sub(g.looked)
-	if passed < gapEvery {
+// adjust updates the gap from the number of messages so far.
+func (g *gap) adjust(now time.Time, messages int64) {
+	passed := now.Sub(g.lastAdjusted)
+	if passed < gapInterval {
 		return
 	}
-	rate := float64(messages-g.counted) / passed.Seconds()
-	g.counted = messages
-	g.looked = now
-	g.nanos.Store(int64(nextGap(g.inForce(), rate, g.most)))
+	rate := float64(messages-g.lastCount) / passed.Seconds()
+	g.lastCount = messages
+	g.lastAdjusted = now
+	g.value.Store(int64(nextGap(g.current(), rate, g.targetRate)))
 }
 
-// nextGap returns the gap that follows one with which there were so many messages
-// a second, where most of them are wanted. Connections that always have something
-// to send have messages in inverse proportion to the gap.
-func nextGap(last time.Duration, rate, most float64) time.Duration {
-	next := time.Duration(float64(last) * max(rate/most, quickestFall))
-	return min(max(next, leastGap), mostGap)
+// nextGap returns the gap to use after the last one resulted in the given message rate.
+// The rate of connections that always have something to send is inversely proportional
+// to the gap.
+func nextGap(last time.Duration, rate, targetRate float64) time.Duration {
+	next := time.Duration(float64(last) * max(rate/targetRate, minGapFactor))
+	return min(max(next, minGap), maxGap)
 }
--- a/relay/gap_test.go
+++ b/relay/gap_test.go
@@ -29,20 +29,20 @@
 	}
 }
 
-// Guards against messages that wait for each other though the owner's processors have time.
-func TestGapFollowsTheLoad(t *testing.T) {
+// Guards against messages delayed by a long gap although the owner's processors are idle.
+func TestGapFollowsLoad(t *testing.T) {
 	tests := []struct {
 		name       string
 		processors float64
 		links      int
-		events     float64 // ends and starts a second
+		events     float64 // ends and starts per second
 		least      time.Duration
 		most       time.Duration
 	}{
-		{"large owner, 490 workers", 0.8, 8, 1500, leastGap, 2 * time.Millisecond},
-		{"large owner, 3000 workers, burst", 0.8, 47, 12000, mostGap, mostGap},
-		{"small owner, 198 workers", 0.12, 5, 1200, mostGap, mostGap},
-		{"small owner, calm", 0.12, 5, 200, leastGap, 2 * time.Millisecond},
+		{"large owner, 490 workers", 0.8, 8, 1500, minGap, 2 * time.Millisecond},
+		{"large owner, 3000 workers, burst", 0.8, 47, 12000, maxGap, maxGap},
+		{"small owner, 198 workers", 0.12, 5, 1200, maxGap, maxGap},
+		{"small owner, calm", 0.12, 5, 200, minGap, 2 * time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -51,19 +51,18 @@
 			now := time.Unix(0, 0)
 			messages := 0.0
 			for range 50 {
-				now = now.Add(gapEvery)
-				messages += messagesWith(g.inForce(), 2*test.links, test.events) * gapEvery.Seconds()
-				g.look(now, int64(messages))
+				now = now.Add(gapInterval)
+				messages += messageRate(g.current(), 2*test.links, test.events) * gapInterval.Seconds()
+				g.adjust(now, int64(messages))
 			}
-			is.True(g.inForce() >= test.least)
-			is.True(g.inForce() <= test.most)
+			is.True(g.current() >= test.least)
+			is.True(g.current() <= test.most)
 		})
 	}
 }
 
-// messagesWith returns how many messages a second there are: what comes within a
-// gap goes together.
-func messagesWith(gap time.Duration, directions int, events float64) float64 {
+// messageRate returns the messages per second if all events within a gap share one.
+func messageRate(gap time.Duration, directions int, events float64) float64 {
 	each := events / float64(directions)
 	return float64(directions) * each / (1 + each*gap.Seconds())
 }
--- a/relay/instance.go
+++ b/relay/instance.go
@@ -10,20 +10,20 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Stream is where instances say that they take orders: one record each, under
-// the instance's ID, written when its process starts and dropped when it leaves.
-// One that was killed leaves its record behind; it can't be reached then.
+// Stream is the keyed stream of the instances that accept orders. An instance writes a
+// record under its ID when its process starts, and deletes it when it leaves. The record
+// of a killed instance remains, and connections to it fail.
 const Stream = "instances"
 
-// Instance is one that takes orders.
+// Instance is an instance that accepts orders for workers.
 type Instance struct {
 	ID               string `cbor:"-"`
 	Address          string `cbor:"1,keyasint"` // host:port of its agent
 	AvailabilityZone string `cbor:"2,keyasint"`
 }
 
-// Record returns an instance's record.
-func Record(i Instance) (provider.KeyedRecord, error) {
+// EncodeRecord encodes an instance as a record of Stream.
+func EncodeRecord(i Instance) (provider.KeyedRecord, error) {
 	value, err := cbor.Marshal(i)
 	if err != nil {
 		return provider.KeyedRecord{}, fault.Wrap(fault.Internal, err, "instance %s", i.ID)
@@ -31,7 +31,7 @@
 	return provider.KeyedRecord{Key: i.ID, Value: value}, nil
 }
 
-// ParseRecord reads an instance's record.
+// ParseRecord decodes and validates a record of Stream.
 func ParseRecord(r provider.KeyedRecord) (Instance, error) {
 	i := Instance{ID: r.Key}
 	if err := cbor.Unmarshal(r.Value, &i); err != nil {
--- a/relay/link.go
+++ b/relay/link.go
@@ -16,73 +16,75 @@
 	"github.com/dogwoodladder/dogwoodladder/relay/wire"
 )
 
-// Times of a connection. An answer of an instance takes 3 to 10 ms beside what
-// the worker is allowed to wait.
+// Times of a connection. A response of an instance takes 3 to 10 ms, plus the wait of a
+// hold at the worker.
 const (
 	dialTimeout  = time.Second
 	writeTimeout = time.Second
-	leastBackoff = 300 * time.Millisecond
-	mostBackoff  = 10 * time.Second
-	// mostDoublings of leastBackoff are above mostBackoff.
-	mostDoublings = 6
-	// promptFor is how long an order that waits for nothing may be without a
-	// result before its instance is asked whether it is there.
-	promptFor = 150 * time.Millisecond
-	// quietFor is the same for one that says nothing while holds wait there.
-	quietFor = 500 * time.Millisecond
-	// answerWithin is how long it may take to say so. With it a frozen or cut off
-	// instance is passed over 0.5 to 0.9 s after it went silent.
-	answerWithin = 350 * time.Millisecond
-	// allAnswerWithin is the same where nothing was heard of others either, of
-	// fewLinks at least. Over a link of 2 Mbit/s a read of 256 KB takes 1 s.
-	allAnswerWithin = 2 * time.Second
-	fewLinks        = 3
+	minBackoff   = 300 * time.Millisecond
+	maxBackoff   = 10 * time.Second
+	// maxDoublings is enough for minBackoff to exceed maxBackoff.
+	maxDoublings = 6
+	// pingAfterOrder is how long an order without a wait may have no result before the
+	// instance is pinged.
+	pingAfterOrder = 150 * time.Millisecond
+	// pingAfterSilence is how long an instance may send nothing while holds are waiting
+	// there before it is pinged.
+	pingAfterSilence = 500 * time.Millisecond
+	// pongTimeout is how long an instance may take to answer a ping. With it orders
+	// avoid a frozen or partitioned instance 0.5 to 0.9 s after it went silent.
+	pongTimeout = 350 * time.Millisecond
+	// allSilentPongTimeout is the timeout if no other instance has sent anything since
+	// the ping either, given at least minLinksToCompare connections. This instance's own
+	// link is probably saturated then: at 2 Mbit/s a read of 256 KB takes 1 s.
+	allSilentPongTimeout = 2 * time.Second
+	minLinksToCompare    = 3
 )
 
-// maxQueued bounds the orders that wait to be sent to one instance. They are sent
-// as fast as its connection takes them; beyond it they go the direct way.
+// maxQueued bounds the orders queued for one instance's connection. Further orders are
+// sent to the workers directly.
 const maxQueued = 1024
 
-// link is the way through one instance. Its connection is made anew when it ends.
+// link relays orders through one instance. It reconnects when its connection ends.
 type link struct {
 	executor *Executor
 	peer     Instance
 
-	mu       sync.Mutex
-	dialing  bool
-	session  *session // nil while there is none
-	failures int
-	again    time.Time // no dial before then
+	mu         sync.Mutex
+	dialing    bool
+	session    *session // nil while there is none
+	failures   int
+	nextDialAt time.Time // earliest time of the next dial
 }
 
 func newLink(e *Executor, i Instance) *link {
 	return &link{executor: e, peer: i}
 }
 
-// isUp reports whether orders can be sent.
+// isUp reports whether the link accepts orders.
 func (l *link) isUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.session != nil && l.session.takes()
+	return l.session != nil && l.session.accepts()
 }
 
-// begin forgets what an earlier ownership saw of the instance.
-func (l *link) begin() {
+// resetBackoff clears the failures that were counted during an earlier ownership.
+func (l *link) resetBackoff() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = 0
-	l.again = time.Time{}
+	l.nextDialAt = time.Time{}
 }
 
-// works reports whether there is a connection, or nothing speaks against one.
-func (l *link) works() bool {
+// isUsable reports whether there is a connection, or none has failed so far.
+func (l *link) isUsable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.session != nil || l.failures == 0
 }
 
-// tried reports whether there is a connection, or it couldn't be made.
-func (l *link) tried() bool {
+// wasTried reports whether a connection attempt has succeeded or failed.
+func (l *link) wasTried() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.session != nil || l.failures > 0
@@ -95,18 +97,18 @@
 	return l.session
 }
 
-// look makes a connection where there is none and one is wanted, and ends one that
-// is silent. Elsewhere is when another instance was last heard.
-func (l *link) look(now, elsewhere time.Time, wanted bool, t *tomb.Tomb) {
+// check connects a wanted link that has no connection, and closes a connection that is
+// silent. The time otherContact is the last contact with any other instance.
+func (l *link) check(now, otherContact time.Time, wanted bool, t *tomb.Tomb) {
 	l.mu.Lock()
 	s := l.session
-	dial := wanted && s == nil && !l.dialing && now.After(l.again)
+	dial := wanted && s == nil && !l.dialing && now.After(l.nextDialAt)
 	if dial {
 		l.dialing = true
 	}
 	l.mu.Unlock()
 	if s != nil {
-		s.look(now, elsewhere)
+		s.check(now, otherContact)
 	}
 	if dial {
 		t.Go(func() error {
@@ -116,11 +118,11 @@
 	}
 }
 
-// serve makes a connection and uses it to its end.
+// serve dials the instance and runs the connection until it ends.
 func (l *link) serve(t *tomb.Tomb) {
 	ctx := t.Context(context.Background())
 	socket, err := l.dial(ctx)
-	wanted := l.executor.wants(l)
+	wanted := l.executor.mayConnect(l)
 	l.mu.Lock()
 	l.dialing = false
 	if err == nil && !wanted {
@@ -130,57 +132,57 @@
 	if err != nil {
 		l.backOff(l.failures + 1)
 		l.mu.Unlock()
-		l.executor.tried()
+		l.executor.releaseWaiting()
 		l.executor.logger.Debug("relay not reached", zap.String("through", l.peer.ID), zap.Error(err))
 		return
 	}
 	s := newSession(l.executor, socket)
 	l.session = s
 	l.mu.Unlock()
-	l.up()
+	l.handleUp()
 	err = s.run(ctx)
-	l.down(s, err)
+	l.handleDown(s, err)
 }
 
-func (l *link) up() {
-	l.executor.counters.up.Add(1)
-	l.executor.changed()
+func (l *link) handleUp() {
+	l.executor.counters.linksUp.Add(1)
+	l.executor.linkChanged()
 	l.executor.logger.Info("relay", zap.String("through", l.peer.ID), zap.String("zone", l.peer.AvailabilityZone))
 }
 
-// backOff has no connection made for a while after so many failures in a row. The
-// caller holds l.mu.
+// backOff sets the time of the next dial after the given number of consecutive
+// failures. The caller holds l.mu.
 func (l *link) backOff(failures int) {
 	l.failures = failures
-	l.again = time.Now().Add(min(mostBackoff, leastBackoff<<min(failures, mostDoublings)))
+	l.nextDialAt = time.Now().Add(min(maxBackoff, minBackoff<<min(failures, maxDoublings)))
 }
 
-func (l *link) down(s *session, err error) {
+func (l *link) handleDown(s *session, err error) {
 	l.mu.Lock()
 	l.session = nil
 	failures := min(l.failures, 1) + 1
-	if s.served() {
+	if s.hasReceived() {
 		failures = 1
 	}
 	l.backOff(failures)
 	l.mu.Unlock()
-	l.executor.counters.up.Add(-1)
-	l.executor.changed()
+	l.executor.counters.linksUp.Add(-1)
+	l.executor.linkChanged()
 	l.executor.logger.Info("relay lost", zap.String("through", l.peer.ID), zap.Error(err))
 	s.abandon()
 }
 
 func (l *link) dial(ctx context.Context) (*websocket.Conn, error) {
-	once, cancel := context.WithTimeout(ctx, dialTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	socket, _, err := websocket.Dial(once, "ws://"+l.peer.Address+wire.Path, &websocket.DialOptions{
+	socket, _, err := websocket.Dial(timeoutCtx, "ws://"+l.peer.Address+wire.Path, &websocket.DialOptions{
 		HTTPClient: l.executor.client,
 		HTTPHeader: http.Header{wire.ToHeader: {l.peer.ID}},
 	})
 	if err != nil {
 		return nil, err
 	}
-	socket.SetReadLimit(wire.MaxFrame)
+	socket.SetReadLimit(wire.MaxMessageSize)
 	return socket, nil
 }
 
@@ -193,7 +195,8 @@
 
 var errDown = errors.New("no connection")
 
-// do sends an order and returns its result.
+// do sends an order through the instance and returns its result. The answer to a hold is
+// returned decoded.
 func (l *link) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.Held) {
 	s := l.current()
 	if s == nil {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,21 +1,21 @@
-// Package relay orders workers through the instances near them.
+// Package relay sends orders to workers through instances in their availability zones.
 //
 // Usage:
 //
 //	e := relay.New(direct, relay.WithInstance("edge-1"))
 //	go e.Run(ctx)
-//	e.SetInstances(instances) // that take orders, by package agent
+//	e.SetInstances(instances) // that run the agent of package agent
 //	e.Enable(true)            // while this instance owns the cell
 //	held, err := e.Hold(ctx, order)
 //
 // An Executor is a provider.Executor that sends each order to an instance in the
-// worker's availability zone, over one connection to each of them, and takes
-// another way where that instance can't be reached. It decides nothing: the
-// order, its token, its deadline and its outcome are those of a direct one.
+// worker's availability zone, over one connection per instance. If that instance
+// can't be reached, it uses another one or sends the order directly. The order, its
+// token, its deadline and its outcome are the same as those of a direct order.
 //
-// What goes wrong without it: one instance carries every byte and connection of
-// all workers. With 2 Mbit/s it has room for 200 starts a second on 140 workers,
-// and what it can't start in time is lost.
+// Without relays the owner carries the traffic and the connections of all workers.
+// A link of 2 Mbit/s is enough for 200 starts per second on 140 workers; tasks that
+// can't be started in time are lost.
 package relay
 
 import (
@@ -35,22 +35,23 @@
 	"github.com/dogwoodladder/dogwoodladder/relay/wire"
 )
 
-// Bounds.
+// Times of relaying.
 const (
-	// avoidFor is how long a worker that an instance couldn't reach is ordered
-	// directly. The worker may be out of that instance's reach only.
-	avoidFor = 2 * time.Second
-	// watchEvery is the time between two looks for instances that are silent.
-	watchEvery = 50 * time.Millisecond
-	// openWithin is how long orders wait for the first connections of a new owner,
-	// which take 5 ms to an instance that is there.
-	openWithin = 200 * time.Millisecond
+	// avoidTime is how long orders go directly to a worker that an instance couldn't
+	// reach, since the worker may be unreachable only from that instance.
+	avoidTime = 2 * time.Second
+	// watchInterval is the time between two checks for silent instances.
+	watchInterval = 50 * time.Millisecond
+	// openTimeout is how long orders wait for the first connections of a new owner. A
+	// connection to a running instance takes 5 ms.
+	openTimeout = 200 * time.Millisecond
 )
 
-// Dialer makes a connection to an address.
+// Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Executor is safe for concurrent use.
+// Executor sends orders to workers through other instances. It is safe for concurrent
+// use.
 type Executor struct {
 	direct   provider.Executor
 	instance string
@@ -60,42 +61,42 @@
 	counters *counters
 	gap      *gap
 
-	kick chan struct{} // has the connections looked at now
+	checkNow chan struct{} // triggers a check of the connections
 
-	mu      sync.Mutex
-	enabled bool
-	links   map[string]*link
-	routes  routes
-	opening chan struct{} // closed once the connections that are wanted were tried; nil after that
-	openBy  time.Time     // when it is closed at the latest
+	mu           sync.Mutex
+	enabled      bool
+	links        map[string]*link
+	routes       routes
+	opening      chan struct{} // closed once all wanted connections were tried; nil otherwise
+	openDeadline time.Time     // deadline for closing it
 }
 
 // Option changes an Executor.
 type Option func(*Executor)
 
-// WithInstance names this instance, which orders its share by itself.
+// WithInstance sets the ID of this instance, which sends its share of orders directly.
 func WithInstance(name string) Option {
 	return func(e *Executor) { e.instance = name }
 }
 
-// WithProcessors sets how many processors the instance has, a fraction where it
-// has a share of one; the default is one. With fewer, messages are further apart.
+// WithProcessors sets the instance's number of processors, which may be a fraction; the
+// default is one. With fewer processors orders are batched into fewer messages.
 func WithProcessors(n float64) Option {
 	return func(e *Executor) { e.gap = newGap(n) }
 }
 
-// WithLogger sets where connections are logged; the default drops them.
+// WithLogger sets the logger for connections; the default logs nothing.
 func WithLogger(l *zap.Logger) Option {
 	return func(e *Executor) { e.logger = l }
 }
 
-// WithClock sets the clock that messages are stamped with. It has to go on while
+// WithClock sets the clock for the timestamps of messages. It must include time in which
 // the machine is suspended.
 func WithClock(clock func() time.Duration) Option {
 	return func(e *Executor) { e.clock = clock }
 }
 
-// WithDialer sets how connections are made.
+// WithDialer sets the function that opens connections.
 func WithDialer(d Dialer) Option {
 	return func(e *Executor) { e.client = newClient(d) }
 }
@@ -104,20 +105,20 @@
 	return &http.Client{Transport: &http.Transport{DialContext: d, DisableKeepAlives: true}}
 }
 
-// New returns an Executor that orders through direct until it is enabled and
-// knows instances.
+// New returns an Executor that sends all orders through direct until it is enabled and
+// instances are set.
 func New(direct provider.Executor, opts ...Option) *Executor {
-	begun := time.Now()
+	start := time.Now()
 	e := &Executor{
 		direct:   direct,
 		logger:   zap.NewNop(),
-		clock:    func() time.Duration { return time.Since(begun) },
+		clock:    func() time.Duration { return time.Since(start) },
 		client:   newClient((&net.Dialer{}).DialContext),
 		counters: newCounters(),
 		gap:      newGap(1),
 		links:    make(map[string]*link),
 		routes:   newRoutes(),
-		kick:     make(chan struct{}, 1),
+		checkNow: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(e)
@@ -125,7 +126,7 @@
 	return e
 }
 
-// Run holds the connections until ctx is done. It is called once.
+// Run maintains the connections until ctx is done. It must be called once only.
 func (e *Executor) Run(ctx context.Context) error {
 	t, _ := tomb.WithContext(ctx)
 	t.Go(func() error { return e.watch(t) })
@@ -136,37 +137,36 @@
 	return err
 }
 
-// watch looks for instances that are silent, and keeps the connections that are
-// wanted.
+// watch periodically opens wanted connections and closes those to silent instances.
 func (e *Executor) watch(t *tomb.Tomb) error {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-t.Dying():
 			e.closeAll("shutting down")
 			return nil
-		case <-e.kick:
+		case <-e.checkNow:
 		case <-ticker.C:
 		}
 		now := time.Now()
-		e.gap.look(now, e.counters.messages())
-		e.look(now, t)
-		e.tried()
+		e.gap.adjust(now, e.counters.messages())
+		e.checkLinks(now, t)
+		e.releaseWaiting()
 	}
 }
 
-// look has each link looked at.
+// checkLinks checks each link, comparing silent instances with the others.
 //
-// What goes wrong without telling the two apart: this instance's own link is full
-// for a second, by a large configuration for one, and all instances look silent. All
-// connections are made anew, and until then all workers are ordered directly, which
-// takes the link far more. Where no other instance was heard either since one was
-// asked, it is this end, and nothing is gained by another way.
-func (e *Executor) look(now time.Time, t *tomb.Tomb) {
-	links, wanted := e.kept()
+// If this instance's own link is saturated for a second, by a large configuration for
+// example, all instances look silent. Reconnecting to all of them, and ordering all
+// workers directly until then, would load the link far more. If no other instance has
+// sent anything since the ping of a silent one either, the cause is probably local, and
+// other routes wouldn't help.
+func (e *Executor) checkLinks(now time.Time, t *tomb.Tomb) {
+	links, wanted := e.activeLinks()
 	var newest, second time.Time
-	var from *link
+	var newestLink *link
 	up := 0
 	for _, l := range links {
 		s := l.current()
@@ -174,39 +174,40 @@
 			continue
 		}
 		up++
-		switch heard := s.lastHeard(); {
-		case heard.After(newest):
-			newest, second, from = heard, newest, l
-		case heard.After(second):
-			second = heard
+		switch contact := s.lastContactAt(); {
+		case contact.After(newest):
+			newest, second, newestLink = contact, newest, l
+		case contact.After(second):
+			second = contact
 		}
 	}
 	for _, l := range links {
-		elsewhere := newest
-		if l == from {
-			elsewhere = second
+		otherContact := newest
+		if l == newestLink {
+			otherContact = second
 		}
-		if up < fewLinks {
-			elsewhere = now
+		if up < minLinksToCompare {
+			otherContact = now
 		}
-		l.look(now, elsewhere, wanted[l], t)
+		l.check(now, otherContact, wanted[l], t)
 	}
 }
 
-// kept returns all links, and those of them that should have a connection.
-func (e *Executor) kept() ([]*link, map[*link]bool) {
+// activeLinks returns all links and the subset that should have a connection, none while
+// the executor is disabled.
+func (e *Executor) activeLinks() ([]*link, map[*link]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.enabled {
 		return nil, nil
 	}
-	return slices.Collect(maps.Values(e.links)), e.wanted()
+	return slices.Collect(maps.Values(e.links)), e.wantedLinks()
 }
 
-// wanted returns the links that should have a connection. The caller holds e.mu.
-func (e *Executor) wanted() map[*link]bool {
+// wantedLinks returns the links that should have a connection. The caller holds e.mu.
+func (e *Executor) wantedLinks() map[*link]bool {
 	wanted := make(map[*link]bool)
-	for _, id := range e.routes.wanted(func(id string) bool { return e.links[id] == nil || e.links[id].works() }) {
+	for _, id := range e.routes.wanted(func(id string) bool { return e.links[id] == nil || e.links[id].isUsable() }) {
 		if l := e.links[id]; l != nil {
 			wanted[l] = true
 		}
@@ -214,17 +215,17 @@
 	return wanted
 }
 
-// tried lets the orders go that wait for connections, once each that is wanted is up
-// or couldn't be made.
-func (e *Executor) tried() {
+// releaseWaiting releases the orders that wait for connections once each wanted one is
+// up or has failed, or the wait has timed out.
+func (e *Executor) releaseWaiting() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.opening == nil {
 		return
 	}
-	if time.Now().Before(e.openBy) {
-		for l := range e.wanted() {
-			if !l.tried() {
+	if time.Now().Before(e.openDeadline) {
+		for l := range e.wantedLinks() {
+			if !l.wasTried() {
 				return
 			}
 		}
@@ -233,13 +234,13 @@
 	e.opening = nil
 }
 
-// opened waits until the connections of a new owner were tried.
+// waitOpened waits until the connections of a new owner were tried.
 //
-// What goes wrong without it: a new owner asks each of its workers what runs there
-// before it has any connection to the instances near them, and makes one to each
-// worker instead, which takes longer; until it has asked all, nothing starts that had
-// begun. It shows as lines "relay" after the line "workers surveyed".
-func (e *Executor) opened(ctx context.Context) {
+// Otherwise a new owner sends its first hold to each worker before any relay is
+// connected, over a new connection per worker, which takes longer. Tasks that were
+// started before can't be restarted until all workers have answered. In the log, lines
+// "relay" then follow the line "workers surveyed".
+func (e *Executor) waitOpened(ctx context.Context) {
 	e.mu.Lock()
 	opening := e.opening
 	e.mu.Unlock()
@@ -252,37 +253,37 @@
 	}
 }
 
-// Enable has orders sent through other instances, or no more.
+// Enable switches relaying through other instances on or off.
 func (e *Executor) Enable(enabled bool) {
 	e.mu.Lock()
-	was := e.enabled
+	wasEnabled := e.enabled
 	e.enabled = enabled
-	if enabled && !was {
-		e.open()
+	if enabled && !wasEnabled {
+		e.startOpening()
 	}
 	e.mu.Unlock()
-	if enabled && !was {
+	if enabled && !wasEnabled {
 		e.gap.reset()
 		select {
-		case e.kick <- struct{}{}:
+		case e.checkNow <- struct{}{}:
 		default:
 		}
 	}
-	if was && !enabled {
+	if wasEnabled && !enabled {
 		e.closeAll("not wanted")
 	}
 }
 
-// open has orders wait for the first connections. The caller holds e.mu.
-func (e *Executor) open() {
+// startOpening makes orders wait for the first connections. The caller holds e.mu.
+func (e *Executor) startOpening() {
 	if len(e.links) == 0 {
 		return
 	}
 	for _, l := range e.links {
-		l.begin()
+		l.resetBackoff()
 	}
 	e.opening = make(chan struct{})
-	e.openBy = time.Now().Add(openWithin)
+	e.openDeadline = time.Now().Add(openTimeout)
 }
 
 func (e *Executor) closeAll(reason string) {
@@ -293,14 +294,14 @@
 	}
 }
 
-// wants reports whether a link may have a connection.
-func (e *Executor) wants(l *link) bool {
+// mayConnect reports whether a link may have a connection.
+func (e *Executor) mayConnect(l *link) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.enabled && e.links[l.peer.ID] == l
 }
 
-// SetInstances sets which instances take orders, whole.
+// SetInstances replaces the set of instances that accept orders.
 func (e *Executor) SetInstances(instances []Instance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -325,16 +326,16 @@
 	e.routes.setInstances(instances)
 }
 
-// SetWorkers sets how many workers each availability zone has.
+// SetWorkers sets the number of workers in each availability zone.
 func (e *Executor) SetWorkers(byZone map[string]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.routes.setWorkers(byZone)
 }
 
-// linkOf returns the link that leads to a worker, nil for the direct way.
+// linkOf returns the link for a worker's orders, nil to send them directly.
 func (e *Executor) linkOf(ctx context.Context, h provider.Host) *link {
-	e.opened(ctx)
+	e.waitOpened(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.enabled {
@@ -344,24 +345,24 @@
 	return e.links[id]
 }
 
-// avoid has a worker ordered directly for a while.
+// avoid makes a worker's orders go directly for avoidTime.
 func (e *Executor) avoid(h provider.Host) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.routes.avoid(h.ID, now, now.Add(avoidFor))
+	e.routes.avoid(h.ID, now, now.Add(avoidTime))
 }
 
-// changed takes note that a link came or went.
-func (e *Executor) changed() {
+// linkChanged updates the routes after a link came up or went down.
+func (e *Executor) linkChanged() {
 	e.mu.Lock()
-	e.routes.forget()
+	e.routes.clearPicked()
 	e.mu.Unlock()
-	e.tried()
+	e.releaseWaiting()
 }
 
-// Hold is that of provider.Executor. One that finds no answer on its way is
-// sent directly while there is time: it may be repeated without harm.
+// Hold implements provider.Executor. A hold is idempotent, so one without an answer
+// through the relay is sent directly if there is time left.
 func (e *Executor) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
 	l := e.linkOf(ctx, o.Host)
 	if l == nil {
@@ -386,11 +387,11 @@
 		return provider.Held{}, r.Err()
 	}
 	o.Wait = 0
-	o.Seen = 0 // the worker may have restarted since
+	o.Seen = 0 // the worker may have restarted since, so that the number may mean another end
 	return e.direct.Hold(ctx, o)
 }
 
-// Start is that of provider.Executor.
+// Start implements provider.Executor.
 func (e *Executor) Start(ctx context.Context, o provider.StartOrder) (provider.Refusal, error) {
 	r, sent := e.relay(ctx, o.Host, wire.Order{
 		Kind:       wire.Start,
@@ -410,12 +411,12 @@
 	return r.Refusal, nil
 }
 
-// Stop is that of provider.Executor.
+// Stop implements provider.Executor.
 func (e *Executor) Stop(ctx context.Context, o provider.RunOrder) error {
 	return e.run(ctx, wire.Stop, o, e.direct.Stop)
 }
 
-// Pace is that of provider.Executor.
+// Pace implements provider.Executor.
 func (e *Executor) Pace(ctx context.Context, o provider.RunOrder) error {
 	return e.run(ctx, wire.Pace, o, e.direct.Pace)
 }
@@ -428,9 +429,9 @@
 	return r.Err()
 }
 
-// relay sends an order by way of the instance that leads to its worker. It reports
-// false if the order is to be sent directly: there is no such instance, or the order
-// provably wasn't sent to the worker and there is time.
+// relay sends an order through the instance chosen for its worker. It returns false if
+// the order should be sent directly: there is no such instance, or the order certainly
+// wasn't sent to the worker and there is time left.
 func (e *Executor) relay(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, bool) {
 	l := e.linkOf(ctx, h)
 	if l == nil {
@@ -439,17 +440,17 @@
 	}
 	e.counters.relayed.Add(1)
 	r, _ := l.do(ctx, h, o, spec)
-	wentNowhere := r.Outcome == wire.NotSent || r.Outcome == wire.Late
-	return r, !wentNowhere || !e.mayGoDirectly(ctx, h)
+	notSent := r.Outcome == wire.NotSent || r.Outcome == wire.Late
+	return r, !notSent || !e.mayGoDirectly(ctx, h)
 }
 
-// mayGoDirectly takes note that a worker wasn't reached through its instance, and
-// reports whether there is time to order it directly.
+// mayGoDirectly marks a worker as unreachable through its instance, and reports whether
+// there is time left to send its order directly.
 func (e *Executor) mayGoDirectly(ctx context.Context, h provider.Host) bool {
 	e.avoid(h)
 	if ctx.Err() != nil {
 		return false
 	}
-	e.counters.again.Add(1)
+	e.counters.repeated.Add(1)
 	return true
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,42 +21,42 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/network"
 )
 
-// workers answer orders, and keep who ordered what.
+// workers answer orders and record them.
 type workers struct {
-	mu     sync.Mutex
-	orders []string // "way task"
-	token  uint64
-	runs   []provider.Run
-	at     []string                 // addresses at which runs were stopped
-	seen   map[string]uint64        // ends acknowledged by the last hold, by way
-	specs  map[string]string        // by task
-	mute   map[string]bool          // ways on which nothing is answered
-	takes  map[string]time.Duration // time for an answer, by way
+	mu            sync.Mutex
+	orders        []string // "route order"
+	token         uint64
+	runs          []provider.Run
+	stopAddresses []string                 // addresses at which runs were stopped
+	lastSeen      map[string]uint64        // ends acknowledged by the last hold, by route
+	specs         map[string]string        // by task
+	silent        map[string]bool          // routes without answers
+	delays        map[string]time.Duration // time for an answer, by route
 }
 
 func newWorkers() *workers {
-	return &workers{seen: make(map[string]uint64), specs: make(map[string]string), mute: make(map[string]bool), takes: make(map[string]time.Duration)}
+	return &workers{lastSeen: make(map[string]uint64), specs: make(map[string]string), silent: make(map[string]bool), delays: make(map[string]time.Duration)}
 }
 
-// way is an Executor by which an instance reaches the workers.
-type way struct {
+// route is an Executor that reaches the workers directly or as a relay.
+type route struct {
 	*workers
 	name string
 }
 
-func (w way) order(ctx context.Context, token uint64, what string) error {
-	w.mu.Lock()
-	w.orders = append(w.orders, w.name+" "+what)
-	mute, takes := w.mute[w.name], w.takes[w.name]
-	stale := token < w.token
-	w.token = max(w.token, token)
-	w.mu.Unlock()
-	if mute {
+func (r route) handle(ctx context.Context, token uint64, what string) error {
+	r.mu.Lock()
+	r.orders = append(r.orders, r.name+" "+what)
+	silent, delay := r.silent[r.name], r.delays[r.name]
+	stale := token < r.token
+	r.token = max(r.token, token)
+	r.mu.Unlock()
+	if silent {
 		<-ctx.Done()
 		return fault.New(fault.MayHaveRun, "no answer")
 	}
 	select {
-	case <-time.After(takes):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return fault.New(fault.MayHaveRun, "no answer")
 	}
@@ -66,38 +66,38 @@
 	return nil
 }
 
-func (w way) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
-	w.mu.Lock()
-	w.workers.seen[w.name] = o.Seen
-	w.mu.Unlock()
-	if err := w.order(ctx, o.Token, "hold"); err != nil {
+func (r route) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
+	r.mu.Lock()
+	r.workers.lastSeen[r.name] = o.Seen
+	r.mu.Unlock()
+	if err := r.handle(ctx, o.Token, "hold"); err != nil {
 		return provider.Held{}, err
 	}
 	time.Sleep(o.Wait)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return provider.Held{Clock: 7, Running: append([]provider.Run(nil), w.runs...)}, nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return provider.Held{Clock: 7, Running: append([]provider.Run(nil), r.runs...)}, nil
 }
 
-func (w way) Start(ctx context.Context, o provider.StartOrder) (provider.Refusal, error) {
-	w.mu.Lock()
-	w.specs[o.Task] = o.Spec
-	w.mu.Unlock()
-	return provider.RefusedLate, w.order(ctx, o.Token, "start "+o.Task)
+func (r route) Start(ctx context.Context, o provider.StartOrder) (provider.Refusal, error) {
+	r.mu.Lock()
+	r.specs[o.Task] = o.Spec
+	r.mu.Unlock()
+	return provider.RefusedLate, r.handle(ctx, o.Token, "start "+o.Task)
 }
 
-func (w way) Stop(ctx context.Context, o provider.RunOrder) error {
-	w.mu.Lock()
-	w.at = append(w.at, o.Host.Address)
-	w.mu.Unlock()
-	return w.order(ctx, o.Token, "stop "+o.Task)
+func (r route) Stop(ctx context.Context, o provider.RunOrder) error {
+	r.mu.Lock()
+	r.stopAddresses = append(r.stopAddresses, o.Host.Address)
+	r.mu.Unlock()
+	return r.handle(ctx, o.Token, "stop "+o.Task)
 }
 
-func (w way) Pace(ctx context.Context, o provider.RunOrder) error {
-	return w.order(ctx, o.Token, fmt.Sprintf("pace %s %d", o.Task, o.Percent))
+func (r route) Pace(ctx context.Context, o provider.RunOrder) error {
+	return r.handle(ctx, o.Token, fmt.Sprintf("pace %s %d", o.Task, o.Percent))
 }
 
-func (w *workers) taken() []string {
+func (w *workers) takeOrders() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	taken := w.orders
@@ -105,20 +105,20 @@
 	return taken
 }
 
-func (w *workers) setMute(name string, mute bool) {
+func (w *workers) setSilent(name string, silent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute[name] = mute
+	w.silent[name] = silent
 }
 
-// site is an owner that orders workers by way of one instance.
+// site is an owner that sends orders to workers through one instance.
 type site struct {
 	*network.Network
 	*workers
 	owner *relay.Executor
 	agent *agent.Agent
 	clock func() time.Duration // of the instance
-	stop  func()               // ends the instance
+	stop  func()               // stops the instance
 }
 
 const address = "10.0.0.2:1"
@@ -129,14 +129,14 @@
 	s := &site{Network: network.New(network.WithLatency(time.Millisecond)), workers: newWorkers()}
 	t.Cleanup(func() {
 		s.Close()
-		time.Sleep(time.Minute) // for what waits for a time-out
+		time.Sleep(time.Minute) // until pending timeouts have ended
 	})
-	begun := time.Now()
-	s.clock = func() time.Duration { return time.Since(begun) }
-	s.agent = agent.New("e2", way{s.workers, "relayed"}, agent.WithClock(func() time.Duration { return s.clock() }))
+	start := time.Now()
+	s.clock = func() time.Duration { return time.Since(start) }
+	s.agent = agent.New("e2", route{s.workers, "relayed"}, agent.WithClock(func() time.Duration { return s.clock() }))
 	s.serve(t)
 	opts = append(opts, relay.WithInstance("e1"), relay.WithDialer(s.Dial))
-	s.owner = relay.New(way{s.workers, "direct"}, opts...)
+	s.owner = relay.New(route{s.workers, "direct"}, opts...)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -178,7 +178,7 @@
 	return s.owner.Start(ctx, provider.StartOrder{Host: host, Token: 3, Task: task, Spec: spec})
 }
 
-func TestOrdersTakeTheWayThroughAnInstance(t *testing.T) {
+func TestOrdersAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
@@ -197,24 +197,24 @@
 		is.Equal(s.specs, map[string]string{"t1": "spec", "t2": "spec"})
 		is.NoErr(s.owner.Stop(ctx, provider.RunOrder{Host: host, Token: 3, Task: "t1"}))
 		is.NoErr(s.owner.Pace(ctx, provider.RunOrder{Host: host, Token: 3, Task: "t1", Percent: 40}))
-		is.Equal(s.taken(), []string{"relayed hold", "relayed hold", "relayed start t1", "relayed start t2", "relayed stop t1", "relayed pace t1 40"})
+		is.Equal(s.takeOrders(), []string{"relayed hold", "relayed hold", "relayed start t1", "relayed start t2", "relayed stop t1", "relayed pace t1 40"})
 
 		other := host
 		other.AvailabilityZone = "b"
 		other.ID = "w2"
 		is.NoErr(s.owner.Stop(ctx, provider.RunOrder{Host: other, Token: 3, Task: "t1"}))
-		is.Equal(s.taken(), []string{"direct stop t1"}) // no instance in its zone
+		is.Equal(s.takeOrders(), []string{"direct stop t1"}) // no instance in its zone
 
 		s.owner.Enable(false)
 		time.Sleep(time.Second)
 		_, err = s.hold(0)
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"direct hold"})
+		is.Equal(s.takeOrders(), []string{"direct hold"})
 	})
 }
 
-// An owner with little of a processor puts more into one message, and has the
-// instance do so; one with enough waits for nothing.
+// Checks that an owner with a fraction of a processor batches more into each message,
+// as does the instance on its behalf, and that one with enough doesn't delay messages.
 func TestMessagesByProcessors(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -246,8 +246,8 @@
 	}
 }
 
-// A beaten token goes back to the owner as it is.
-func TestBeatenTokenGoesBack(t *testing.T) {
+// Checks that a worker's refusal of a stale token is returned to the owner unchanged.
+func TestStaleTokenIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
@@ -256,36 +256,37 @@
 		is.True(fault.Is(err, fault.StaleEpoch))
 		_, err = s.start("t1", "spec")
 		is.True(fault.Is(err, fault.StaleEpoch))
-		is.Equal(s.taken(), []string{"relayed hold", "relayed start t1"})
+		is.Equal(s.takeOrders(), []string{"relayed hold", "relayed start t1"})
 	})
 }
 
-// Guards against workers that count as silent as the instance between is.
-func TestSilentInstanceIsPassedOver(t *testing.T) {
+// Guards against workers that are considered silent because their relay is.
+func TestSilentInstanceIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
-		begun := time.Now()
+		start := time.Now()
 		time.AfterFunc(100*time.Millisecond, func() {
 			s.Silence()
 			s.stop()
 		})
 		_, err := s.hold(time.Second)
 		is.NoErr(err)
-		is.True(time.Since(begun) < 1200*time.Millisecond)
-		is.Equal(s.taken(), []string{"relayed hold", "direct hold"})
+		is.True(time.Since(start) < 1200*time.Millisecond)
+		is.Equal(s.takeOrders(), []string{"relayed hold", "direct hold"})
 		_, err = s.start("t1", "spec")
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"direct start t1"})
+		is.Equal(s.takeOrders(), []string{"direct start t1"})
 	})
 }
 
-// Guards against a new owner that asks all workers directly before it has connections.
-func TestFirstOrdersWaitForTheInstances(t *testing.T) {
+// Guards against a new owner that sends its first holds to all workers directly before
+// it has connections.
+func TestFirstOrdersWaitForConnections(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(*testing.T, *site)
-		way     string
+		route   string
 		most    time.Duration // until the last answer
 	}{
 		{"it is there", func(*testing.T, *site) {}, "relayed", 50 * time.Millisecond},
@@ -311,7 +312,7 @@
 				s.owner.Enable(false)
 				time.Sleep(time.Minute)
 				test.prepare(t, s)
-				begun := time.Now()
+				start := time.Now()
 				s.owner.Enable(true)
 				const orders = 60
 				var wg sync.WaitGroup
@@ -322,22 +323,22 @@
 					})
 				}
 				wg.Wait()
-				is.True(time.Since(begun) <= test.most)
-				is.Equal(s.taken(), slices.Repeat([]string{test.way + " hold"}, orders))
+				is.True(time.Since(start) <= test.most)
+				is.Equal(s.takeOrders(), slices.Repeat([]string{test.route + " hold"}, orders))
 			})
 		})
 	}
 }
 
-// Guards against all connections given up where the owner's own link is full.
-func TestAllSilentIsThisEnd(t *testing.T) {
+// Guards against closing all connections when the owner's own link is saturated.
+func TestAllSilentKeepsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
 		instances := []relay.Instance{{ID: "e2", Address: address, AvailabilityZone: "a"}}
 		for i, zone := range []string{"b", "c", "d"} {
 			at := fmt.Sprintf("10.0.0.3:%d", i+1)
-			server := &http.Server{Handler: agent.New(zone, way{s.workers, zone})}
+			server := &http.Server{Handler: agent.New(zone, route{s.workers, zone})}
 			l := s.Listen(t.Context(), at)
 			go func() { _ = server.Serve(l) }()
 			t.Cleanup(func() { _ = server.Close() })
@@ -358,81 +359,82 @@
 		time.Sleep(2 * time.Second)
 		is.Equal(s.owner.Vars().Get("again").String(), "0")
 		time.Sleep(time.Second)
-		is.Equal(s.owner.Vars().Get("again").String(), "4") // made anew, the holds went directly
+		is.Equal(s.owner.Vars().Get("again").String(), "4") // reconnected, and the holds were sent directly
 	})
 }
 
-// A start that waits there is told as one that may have run, before its own time
-// is over.
-func TestStartAtASilentInstance(t *testing.T) {
+// Checks that a start pending at a silent instance fails as MayHaveRun before its own
+// deadline.
+func TestStartAtSilentInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
-		s.takes["relayed"] = 10 * time.Second
+		s.delays["relayed"] = 10 * time.Second
 		time.AfterFunc(10*time.Millisecond, s.Silence)
-		begun := time.Now()
+		start := time.Now()
 		_, err := s.start("t1", "spec")
 		is.True(fault.Is(err, fault.MayHaveRun))
-		is.True(time.Since(begun) < 700*time.Millisecond)
-		is.Equal(s.taken(), []string{"relayed start t1"})
+		is.True(time.Since(start) < 700*time.Millisecond)
+		is.Equal(s.takeOrders(), []string{"relayed start t1"})
 	})
 }
 
-// Guards against a worker that counts as silent as its instance alone can't reach it.
-func TestWorkerOutOfTheInstancesReach(t *testing.T) {
+// Guards against a worker that is considered silent because only its relay can't reach
+// it.
+func TestWorkerUnreachableFromInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
-		s.setMute("relayed", true)
+		s.setSilent("relayed", true)
 		_, err := s.hold(0)
 		is.True(fault.Is(err, fault.MayHaveRun))
 		_, err = s.hold(0)
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"relayed hold", "direct hold"})
-		s.setMute("relayed", false)
+		is.Equal(s.takeOrders(), []string{"relayed hold", "direct hold"})
+		s.setSilent("relayed", false)
 		time.Sleep(3 * time.Second)
 		_, err = s.hold(0)
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"relayed hold"})
+		is.Equal(s.takeOrders(), []string{"relayed hold"})
 	})
 }
 
-// An instance that leaves by plan ends what it was sent, and gets no more.
+// Checks that a leaving instance completes the orders it has and gets no further ones.
 func TestInstanceLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
-		s.takes["relayed"] = 300 * time.Millisecond
+		s.delays["relayed"] = 300 * time.Millisecond
 		time.AfterFunc(100*time.Millisecond, s.agent.Leave)
 		_, err := s.start("t1", "spec")
 		is.NoErr(err)
 		_, err = s.start("t2", "spec")
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"relayed start t1", "direct start t2"})
+		is.Equal(s.takeOrders(), []string{"relayed start t1", "direct start t2"})
 	})
 }
 
-// Guards against orders that an instance sends on seconds later.
-func TestLateOrdersAreNotSentOn(t *testing.T) {
+// Guards against orders that an instance forwards seconds late.
+func TestLateOrdersAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
 		_, err := s.hold(0)
 		is.NoErr(err)
-		s.taken()
+		s.takeOrders()
 		clock := s.clock
-		s.clock = func() time.Duration { return clock() + 2*time.Second } // as of a message that lay there
+		s.clock = func() time.Duration { return clock() + 2*time.Second } // as if the message had been delayed
 		is.NoErr(s.owner.Pace(t.Context(), provider.RunOrder{Host: host, Token: 3, Task: "t1", Percent: 40}))
-		is.Equal(s.taken(), []string{"direct pace t1 40"})
-		time.Sleep(5 * time.Second) // the connection is made anew, with the clocks as they are
+		is.Equal(s.takeOrders(), []string{"direct pace t1 40"})
+		time.Sleep(5 * time.Second) // reconnected, with the new clock difference
 		_, err = s.hold(0)
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"relayed hold"})
+		is.Equal(s.takeOrders(), []string{"relayed hold"})
 	})
 }
 
-// Guards against connections of owners that are gone.
-func TestLostOwnersConnectionEnds(t *testing.T) {
+// Guards against connections of lost owners that stay open forever.
+func TestLostOwnersConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
@@ -440,13 +442,13 @@
 		s.Silence()
 		s.owner.Enable(false)
 		time.Sleep(20 * time.Second)
-		is.Equal(s.agent.Sessions(), 1) // it may be busy elsewhere
+		is.Equal(s.agent.Sessions(), 1) // within the idle timeout, as a busy owner may send nothing
 		time.Sleep(20 * time.Second)
 		is.Equal(s.agent.Sessions(), 0)
 	})
 }
 
-// An address may have gone to another instance, which says so.
+// Checks that a connection is refused if another instance has taken over the address.
 func TestAnotherInstanceAtTheAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -455,11 +457,11 @@
 		time.Sleep(time.Second)
 		_, err := s.hold(0)
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"direct hold"})
+		is.Equal(s.takeOrders(), []string{"direct hold"})
 	})
 }
 
-// Guards against orders to where a worker was before it restarted under its ID.
+// Guards against orders to the old address of a worker that restarted under its ID.
 func TestWorkerRestartsAtAnotherAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -469,30 +471,30 @@
 		for _, h := range []provider.Host{host, moved, moved} {
 			is.NoErr(s.owner.Stop(t.Context(), provider.RunOrder{Host: h, Token: 3, Task: "t1"}))
 		}
-		is.Equal(s.at, []string{host.Address, moved.Address, moved.Address})
-		is.Equal(s.taken(), []string{"relayed stop t1", "relayed stop t1", "relayed stop t1"})
+		is.Equal(s.stopAddresses, []string{host.Address, moved.Address, moved.Address})
+		is.Equal(s.takeOrders(), []string{"relayed stop t1", "relayed stop t1", "relayed stop t1"})
 	})
 }
 
-// Guards against an acknowledgement that is repeated to a worker which may have restarted.
+// Guards against repeating an acknowledgement to a worker that may have restarted.
 func TestAcknowledgementsAreNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t)
-		s.setMute("relayed", true)
+		s.setSilent("relayed", true)
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
 		_, err := s.owner.Hold(ctx, provider.HoldOrder{Host: host, Token: 3, Seen: 5})
 		is.NoErr(err)
-		is.Equal(s.taken(), []string{"relayed hold", "direct hold"})
-		is.Equal(s.seen, map[string]uint64{"relayed": 5, "direct": 0})
+		is.Equal(s.takeOrders(), []string{"relayed hold", "direct hold"})
+		is.Equal(s.lastSeen, map[string]uint64{"relayed": 5, "direct": 0})
 	})
 }
 
 func TestRecords(t *testing.T) {
 	is := is.New(t)
 	i := relay.Instance{ID: "e2", Address: address, AvailabilityZone: "a"}
-	r, err := relay.Record(i)
+	r, err := relay.EncodeRecord(i)
 	is.NoErr(err)
 	got, err := relay.ParseRecord(r)
 	is.NoErr(err)
@@ -503,7 +505,7 @@
 		{ID: "e2", Address: address},
 		{Address: address, AvailabilityZone: "a"},
 	} {
-		r, err := relay.Record(bad)
+		r, err := relay.EncodeRecord(bad)
 		is.NoErr(err)
 		_, err = relay.ParseRecord(r)
 		is.True(fault.Is(err, fault.Invalid))
--- a/relay/routes.go
+++ b/relay/routes.go
@@ -8,19 +8,19 @@
 	"github.com/dogwoodladder/dogwoodladder/rendezvous"
 )
 
-// share is how many workers are ordered through one instance, about. With fewer
-// each message carries one order or two, and the owner is busy sending them; with
-// more an instance that is lost silences more workers for a moment.
-const share = 64
+// workersPerInstance is about how many workers receive orders through one instance. With
+// fewer, each message carries only one or two orders and the owner spends its time
+// sending; with more, a lost instance cuts off more workers for a moment.
+const workersPerInstance = 64
 
-// routes says through which instance a worker is ordered: one of its own zone,
-// by rendezvous hashing, so that an instance that comes or goes moves few others'
-// workers. It isn't safe for concurrent use.
+// routes assigns each worker an instance in its availability zone. It uses rendezvous
+// hashing, so that few workers are reassigned when an instance joins or leaves. It isn't
+// safe for concurrent use.
 type routes struct {
-	zones   map[string][]string // instances by availability zone, in the order in which they are used
-	workers map[string]int      // by availability zone
-	picked  map[string]string   // by worker's ID, until forget
-	avoided map[string]time.Time
+	zones   map[string][]string  // instances by availability zone, in order of preference
+	workers map[string]int       // by availability zone
+	picked  map[string]string    // cached instance by worker's ID, until clearPicked
+	avoided map[string]time.Time // by worker's ID, until when its orders go directly
 }
 
 func newRoutes() routes {
@@ -32,7 +32,7 @@
 	}
 }
 
-// setInstances sets the instances that may be picked; this one is among them.
+// setInstances sets the instances to choose from, which include this one.
 func (r *routes) setInstances(instances []Instance) {
 	clear(r.zones)
 	for _, i := range instances {
@@ -41,41 +41,41 @@
 	for zone, ids := range r.zones {
 		r.zones[zone] = rendezvous.Order(zone, ids)
 	}
-	r.forget()
+	r.clearPicked()
 }
 
-// setWorkers sets how many workers each zone has.
+// setWorkers sets the number of workers in each zone.
 func (r *routes) setWorkers(byZone map[string]int) {
 	for zone, n := range byZone {
-		if shares(n) != shares(r.workers[zone]) {
-			r.forget()
+		if instancesFor(n) != instancesFor(r.workers[zone]) {
+			r.clearPicked()
 		}
 	}
 	r.workers = byZone
 }
 
-// forget has all workers picked for anew.
-func (r *routes) forget() {
+// clearPicked discards all cached assignments.
+func (r *routes) clearPicked() {
 	clear(r.picked)
 }
 
-// avoid has a worker's instance not picked until then. Entries that are over go, as
-// those of workers that have left would stay for good.
+// avoid makes pick return no instance for a worker until the given time. It deletes
+// expired entries, since those of workers that have left would stay forever otherwise.
 func (r *routes) avoid(host string, now, until time.Time) {
 	maps.DeleteFunc(r.avoided, func(_ string, end time.Time) bool { return !now.Before(end) })
 	r.avoided[host] = until
 }
 
-// spare is how many instances of a zone there are connections to beyond those that
-// are used, for the place of one that is lost.
-const spare = 1
+// spareLinks is the number of connections to instances of a zone beyond those in use,
+// as standby for a lost one.
+const spareLinks = 1
 
-// wanted returns the instances to have connections to: those that are used, the
-// spare ones, and those before them that don't work, which are to be used again.
+// wanted returns the instances to connect to: those in use, the spare ones, and failed
+// instances that precede them in the order, which are used again once they recover.
 func (r *routes) wanted(works func(string) bool) []string {
 	var wanted []string
 	for zone, ids := range r.zones {
-		missing := r.used(zone) + spare
+		missing := r.numUsed(zone) + spareLinks
 		for _, id := range ids {
 			if missing == 0 {
 				break
@@ -89,18 +89,17 @@
 	return wanted
 }
 
-// used returns through how many instances of a zone its workers are ordered.
-func (r *routes) used(zone string) int {
-	return max(1, shares(r.workers[zone]))
+// numUsed returns how many instances of a zone relay orders to its workers.
+func (r *routes) numUsed(zone string) int {
+	return max(1, instancesFor(r.workers[zone]))
 }
 
-// shares returns how many shares so many workers are.
-func shares(workers int) int {
-	return (workers + share - 1) / share
+// instancesFor returns how many instances the given number of workers needs.
+func instancesFor(workers int) int {
+	return (workers + workersPerInstance - 1) / workersPerInstance
 }
 
-// pick returns the instance that a worker is ordered through, empty for the
-// direct way.
+// pick returns the instance that relays a worker's orders, empty to send them directly.
 func (r *routes) pick(h provider.Host, now time.Time, up func(string) bool) string {
 	if until, ok := r.avoided[h.ID]; ok {
 		if now.Before(until) {
@@ -112,9 +111,9 @@
 		return id
 	}
 	var reached []string
-	most := r.used(h.AvailabilityZone)
+	maxUsed := r.numUsed(h.AvailabilityZone)
 	for _, id := range r.zones[h.AvailabilityZone] {
-		if len(reached) >= most {
+		if len(reached) >= maxUsed {
 			break
 		}
 		if up(id) {
--- a/relay/routes_test.go
+++ b/relay/routes_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// An owner has connections to the instances that it uses and a spare one in each
-// zone, not to all. For one that is lost another is there, and it is tried again.
+// Checks that an owner connects only to the instances that it uses and a spare one in
+// each zone, that another replaces a lost one, and that the lost one is tried again.
 func TestWanted(t *testing.T) {
 	var instances []Instance
 	for n := range 20 {
--- a/relay/session.go
+++ b/relay/session.go
@@ -13,49 +13,50 @@
 	"github.com/dogwoodladder/dogwoodladder/relay/wire"
 )
 
-// specNumbers is how many specifications of jobs the other end remembers. The
-// tasks of a job start close to each other.
-const specNumbers = 256
+// maxSpecs is how many job specifications the other end remembers. It can be small,
+// as the tasks of a job start at about the same time.
+const maxSpecs = 256
 
-// session is one connection with an instance.
+// session is one connection to an instance.
 type session struct {
 	executor *Executor
 	socket   *websocket.Conn
 	tomb     tomb.Tomb
-	wake     chan struct{} // there are orders to send
-	asked    chan struct{} // it has to be pinged
+	wake     chan struct{} // signals that orders are queued
+	pingNow  chan struct{} // requests a ping
 
-	mu      sync.Mutex
-	ended   bool // nothing is sent any more
-	leaving bool // the instance takes no further orders
-	last    uint64
-	urgent  []*call // holds, stops and paces that wait to be sent
-	starts  []*call // they go after the urgent ones
-	pending map[uint64]*call
-	heard   time.Time // last message
-	pinged  time.Time // since when an answer to a ping is waited for, zero for none
-	got     uint64    // messages
+	mu          sync.Mutex
+	ended       bool // no further orders are accepted
+	leaving     bool // the instance accepts no further orders
+	lastNumber  uint64
+	urgent      []*call // queued holds, stops and paces
+	starts      []*call // queued starts, sent after the urgent orders
+	pending     map[uint64]*call
+	lastContact time.Time // time of the last message or pong
+	pingedAt    time.Time // time of the ping without a pong, zero if there is none
+	numReceived uint64    // number of messages received
 
 	// Owned by the writer.
-	hosts  map[endpoint]uint64 // numbers of workers
-	specs  map[string]uint64   // numbers of specifications
-	texts  [specNumbers]string
-	specAt uint64
+	hostNumbers map[endpoint]uint64 // numbers of the workers on this connection
+	specNumbers map[string]uint64   // numbers of the specifications on this connection
+	specTexts   [maxSpecs]string
+	nextSpec    uint64
 }
 
-// endpoint is a worker at an address: it may restart under its ID at another one.
+// endpoint is a worker at an address. A worker may restart under its ID at another
+// address.
 type endpoint struct {
 	id, address string
 }
 
-// call is an order under way.
+// call is an order whose result is pending.
 type call struct {
-	host  provider.Host
-	order wire.Order
-	spec  string
-	began time.Time
-	sent  bool
-	done  chan reply // takes one
+	host      provider.Host
+	order     wire.Order
+	spec      string
+	startedAt time.Time
+	sent      bool
+	done      chan reply // buffered for one reply
 }
 
 type reply struct {
@@ -65,29 +66,29 @@
 
 func newSession(e *Executor, socket *websocket.Conn) *session {
 	return &session{
-		executor: e,
-		socket:   socket,
-		wake:     make(chan struct{}, 1),
-		asked:    make(chan struct{}, 1),
-		pending:  make(map[uint64]*call),
-		heard:    time.Now(),
-		hosts:    make(map[endpoint]uint64),
-		specs:    make(map[string]uint64),
+		executor:    e,
+		socket:      socket,
+		wake:        make(chan struct{}, 1),
+		pingNow:     make(chan struct{}, 1),
+		pending:     make(map[uint64]*call),
+		lastContact: time.Now(),
+		hostNumbers: make(map[endpoint]uint64),
+		specNumbers: make(map[string]uint64),
 	}
 }
 
-// takes reports whether the instance takes orders.
-func (s *session) takes() bool {
+// accepts reports whether the session accepts orders.
+func (s *session) accepts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.ended && !s.leaving
 }
 
-// served reports whether the instance has sent anything.
-func (s *session) served() bool {
+// hasReceived reports whether the instance has sent any message.
+func (s *session) hasReceived() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got > 0
+	return s.numReceived > 0
 }
 
 func (s *session) run(ctx context.Context) error {
@@ -106,7 +107,7 @@
 
 // do sends an order and waits for its result.
 func (s *session) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.Held) {
-	c := &call{host: h, order: o, spec: spec, began: time.Now(), done: make(chan reply, 1)}
+	c := &call{host: h, order: o, spec: spec, startedAt: time.Now(), done: make(chan reply, 1)}
 	if !s.enqueue(c) {
 		return wire.Result{Outcome: wire.NotSent, Text: errDown.Error()}, provider.Held{}
 	}
@@ -115,7 +116,7 @@
 		return r.result, r.held
 	case <-ctx.Done():
 	}
-	if s.giveUp(c) {
+	if s.cancel(c) {
 		return wire.Result{Outcome: wire.Unanswered, Text: ctx.Err().Error()}, provider.Held{}
 	}
 	return wire.Result{Outcome: wire.NotSent, Text: ctx.Err().Error()}, provider.Held{}
@@ -127,9 +128,9 @@
 	if s.ended || s.leaving || len(s.urgent)+len(s.starts) >= maxQueued {
 		return false
 	}
-	s.last++
-	c.order.Number = s.last
-	s.pending[s.last] = c
+	s.lastNumber++
+	c.order.Number = s.lastNumber
+	s.pending[s.lastNumber] = c
 	if c.order.Kind == wire.Start {
 		s.starts = append(s.starts, c)
 	} else {
@@ -142,16 +143,16 @@
 	return true
 }
 
-// giveUp ends the wait for a call's result. It reports whether the order was
-// sent; one that wasn't won't be.
-func (s *session) giveUp(c *call) bool {
+// cancel ends the wait for a call's result. It reports whether the order was sent; an
+// unsent order won't be sent any more.
+func (s *session) cancel(c *call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, c.order.Number)
 	return c.sent
 }
 
-// write sends what waits, as one message.
+// write sends the queued orders, all of them in one message, until the session ends.
 func (s *session) write(ctx context.Context) error {
 	var spacing wire.Spacing
 	for {
@@ -160,7 +161,7 @@
 			return nil
 		case <-s.wake:
 		}
-		spacing.Wait(ctx, s.executor.gap.inForce())
+		spacing.Wait(ctx, s.executor.gap.current())
 		message := s.compose()
 		if len(message.Orders) == 0 {
 			continue
@@ -169,10 +170,10 @@
 		if err != nil {
 			return err
 		}
-		s.executor.counters.sent.Add(int64(len(data)))
-		s.executor.counters.frames.Add(1)
-		once, cancel := context.WithTimeout(ctx, writeTimeout)
-		err = s.socket.Write(once, websocket.MessageBinary, data)
+		s.executor.counters.sentBytes.Add(int64(len(data)))
+		s.executor.counters.sentMessages.Add(1)
+		timeoutCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		err = s.socket.Write(timeoutCtx, websocket.MessageBinary, data)
 		cancel()
 		if err != nil {
 			return fault.Wrap(fault.Broken, err, "send orders")
@@ -180,21 +181,21 @@
 	}
 }
 
-// compose takes what waits to be sent.
+// compose moves the queued orders into a message.
 func (s *session) compose() wire.Orders {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	message := wire.Orders{
 		Sent: s.executor.clock().Milliseconds(),
-		Gap:  s.executor.gap.inForce().Microseconds(),
+		Gap:  s.executor.gap.current().Microseconds(),
 	}
 	for _, queue := range [][]*call{s.urgent, s.starts} {
 		for _, c := range queue {
 			if s.pending[c.order.Number] != c {
-				continue // given up before it was sent
+				continue // cancelled before it was sent
 			}
 			c.sent = true
-			s.number(c, &message)
+			s.assignNumbers(c, &message)
 			message.Orders = append(message.Orders, c.order)
 		}
 	}
@@ -203,35 +204,36 @@
 	return message
 }
 
-// number puts numbers in place of the worker and the specification.
-func (s *session) number(c *call, message *wire.Orders) {
+// assignNumbers replaces the worker and the specification of an order by their numbers. It
+// adds those that are new on this connection to the message.
+func (s *session) assignNumbers(c *call, message *wire.Orders) {
 	at := endpoint{id: c.host.ID, address: c.host.Address}
-	n, ok := s.hosts[at]
+	n, ok := s.hostNumbers[at]
 	if !ok {
-		n = uint64(len(s.hosts))
-		s.hosts[at] = n
+		n = uint64(len(s.hostNumbers))
+		s.hostNumbers[at] = n
 		message.Hosts = append(message.Hosts, wire.Host{Number: n, ID: c.host.ID, Address: c.host.Address})
 	}
 	c.order.Host = n
 	if c.spec == "" {
-		c.order.Spec = specNumbers // stands for none
+		c.order.Spec = maxSpecs // no specification
 		return
 	}
-	n, ok = s.specs[c.spec]
+	n, ok = s.specNumbers[c.spec]
 	if !ok {
-		n = s.specAt % specNumbers
-		s.specAt++
-		delete(s.specs, s.texts[n])
-		s.texts[n] = c.spec
-		s.specs[c.spec] = n
+		n = s.nextSpec % maxSpecs
+		s.nextSpec++
+		delete(s.specNumbers, s.specTexts[n])
+		s.specTexts[n] = c.spec
+		s.specNumbers[c.spec] = n
 		c.order.SpecText = c.spec
 	}
 	c.order.Spec = n
 }
 
-// read takes results until the connection ends.
+// read receives results until the connection ends.
 func (s *session) read(ctx context.Context) error {
-	lists := wire.NewLists()
+	lists := wire.NewRunLists()
 	for {
 		_, data, err := s.socket.Read(ctx)
 		if err != nil {
@@ -241,35 +243,35 @@
 		if err != nil {
 			return err
 		}
-		s.note(len(data), results.Leaving)
+		s.handleMessage(len(data), results.Leaving)
 		for i := range results.Results {
-			if err := s.settle(lists, &results.Results[i]); err != nil {
+			if err := s.handleResult(lists, &results.Results[i]); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// note takes note of a message.
-func (s *session) note(bytes int, leaving bool) {
-	s.executor.counters.got.Add(int64(bytes))
-	s.executor.counters.received.Add(1)
+// handleMessage updates the session's state and counters for a received message.
+func (s *session) handleMessage(bytes int, leaving bool) {
+	s.executor.counters.receivedBytes.Add(int64(bytes))
+	s.executor.counters.receivedMessages.Add(1)
 	s.mu.Lock()
-	s.heard = time.Now()
-	s.got++
-	left := leaving && !s.leaving
+	s.lastContact = time.Now()
+	s.numReceived++
+	startedLeaving := leaving && !s.leaving
 	s.leaving = s.leaving || leaving
 	s.mu.Unlock()
-	if left {
-		s.executor.changed()
+	if startedLeaving {
+		s.executor.linkChanged()
 	}
 }
 
-// settle hands a result to whoever waits for it.
-func (s *session) settle(lists *wire.Lists, r *wire.Result) error {
+// handleResult delivers a result to the call that waits for it.
+func (s *session) handleResult(lists *wire.RunLists, r *wire.Result) error {
 	out := reply{result: *r}
 	if r.Held != nil {
-		held, err := lists.Restore(r.Host, r.Held) // also if nobody waits: later ones build on it
+		held, err := lists.Decode(r.Host, r.Held) // also without a waiting call, as later lists are differences from it
 		if err != nil {
 			return err
 		}
@@ -288,7 +290,7 @@
 	return nil
 }
 
-// abandon tells all that wait that no result will come.
+// abandon fails all pending calls after the connection has ended.
 func (s *session) abandon() {
 	s.mu.Lock()
 	pending := s.pending
@@ -304,72 +306,72 @@
 	}
 }
 
-// look ends a connection that is silent while results are waited for.
+// check closes a connection that is silent while results are pending.
 //
-// What goes wrong: an instance freezes, loses power or is cut off, or something
-// on the way loses track of the connection, which stays open and carries nothing. The
-// workers behind it look silent, get no tasks, and their leases would end at last. No
-// read fails for long, so an instance that says nothing is asked, and passed over
-// if it doesn't answer.
-func (s *session) look(now, elsewhere time.Time) {
+// If an instance freezes, loses power or is partitioned, or a middlebox loses the
+// state of the connection, the connection stays open but carries nothing. The workers
+// behind it look silent, get no tasks, and their leases expire in the end. Reads on such
+// a connection don't fail for a long time, so a silent instance is pinged, and the
+// connection is closed if no pong arrives in time.
+func (s *session) check(now, otherContact time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving && len(s.pending) == 0 {
 		s.tomb.Kill(fault.New(fault.Leaving, "it leaves"))
 		return
 	}
-	if !s.pinged.IsZero() {
-		within := allAnswerWithin
-		if elsewhere.After(s.pinged) {
-			within = answerWithin
+	if !s.pingedAt.IsZero() {
+		within := allSilentPongTimeout
+		if otherContact.After(s.pingedAt) {
+			within = pongTimeout
 		}
-		if now.Sub(s.pinged) > within {
+		if now.Sub(s.pingedAt) > within {
 			s.tomb.Kill(fault.New(fault.TimedOut, "silent"))
 		}
 		return
 	}
-	if s.owes(now) {
-		s.pinged = now
-		s.asked <- struct{}{} // one at a time is asked for
+	if s.isOverdue(now) {
+		s.pingedAt = now
+		s.pingNow <- struct{}{} // doesn't block, as one ping at a time is requested
 	}
 }
 
-func (s *session) lastHeard() time.Time {
+func (s *session) lastContactAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard
+	return s.lastContact
 }
 
-// owes reports whether the instance should have been heard.
-func (s *session) owes(now time.Time) bool {
-	if len(s.pending) == 0 || now.Sub(s.heard) < promptFor {
+// isOverdue reports whether the instance should have sent a message by now.
+func (s *session) isOverdue(now time.Time) bool {
+	if len(s.pending) == 0 || now.Sub(s.lastContact) < pingAfterOrder {
 		return false
 	}
-	if now.Sub(s.heard) >= quietFor {
+	if now.Sub(s.lastContact) >= pingAfterSilence {
 		return true
 	}
 	for _, c := range s.pending {
-		if (c.order.Kind != wire.Hold || c.order.Wait == 0) && now.Sub(c.began) >= promptFor {
+		if (c.order.Kind != wire.Hold || c.order.Wait == 0) && now.Sub(c.startedAt) >= pingAfterOrder {
 			return true
 		}
 	}
 	return false
 }
 
-// ping asks the instance whether it is there, when look wants it.
+// ping sends the pings that check requests.
 func (s *session) ping(ctx context.Context) error {
 	for {
 		select {
 		case <-s.tomb.Dying():
 			return nil
-		case <-s.asked:
+		case <-s.pingNow:
 		}
 		if err := s.socket.Ping(ctx); err != nil {
 			return fault.Wrap(fault.Broken, err, "ping")
 		}
 		s.mu.Lock()
-		s.pinged = time.Time{}
-		s.heard = time.Now()
+		s.pingedAt = time.Time{}
+		s.lastContact = time.Now()
 		s.mu.Unlock()
 	}
 }
--- a/relay/wire/lists.go
+++ b/relay/wire/lists.go
@@ -7,27 +7,27 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Held is a worker's answer to a hold, as the difference from the one before on
-// the same connection.
+// Held is a worker's answer to a hold, encoded as the difference from the previous
+// answer on the same connection.
 type Held struct {
 	Clock int64   `cbor:"1,keyasint"`
 	Kept  []Kept  `cbor:"2,keyasint,omitempty"`
-	Fresh []Run   `cbor:"3,keyasint,omitempty"`
+	Added []Run   `cbor:"3,keyasint,omitempty"`
 	Ended []Ended `cbor:"4,keyasint,omitempty"`
 	Born  uint64  `cbor:"5,keyasint,omitempty"`
 }
 
-// Kept is a run that was on the list before.
+// Kept is a run that was in the previous list.
 type Kept struct {
 	_          struct{} `cbor:",toarray"`
-	Index      int      // in the list before
+	Index      int      // in the previous list
 	Percent    int
 	Tail       int64 // milliseconds
 	Processors int64
-	Checkpoint string // empty for the same as before
+	Checkpoint string // empty if unchanged
 }
 
-// Run is a run that wasn't.
+// Run is a run that wasn't in the previous list.
 type Run struct {
 	_          struct{} `cbor:",toarray"`
 	Task       string
@@ -38,7 +38,7 @@
 	Processors int64
 }
 
-// Ended is a run that ended.
+// Ended is a run that has ended.
 type Ended struct {
 	_          struct{} `cbor:",toarray"`
 	Number     uint64
@@ -48,64 +48,65 @@
 	Checkpoint string
 }
 
-// Lists remembers the last list of what runs on each worker, at either end of a
-// connection. Both ends see the answers in the same order, so that both remember the
-// same. It isn't safe for concurrent use.
-type Lists struct {
-	last map[uint64][]provider.Run // by the worker's number
+// RunLists holds the last list of runs of each worker, at one end of a connection. Both
+// ends process the answers in the same order, so that their lists agree. It isn't safe
+// for concurrent use.
+type RunLists struct {
+	last map[uint64][]provider.Run // by worker's number
 }
 
-// NewLists returns Lists of a new connection.
-func NewLists() *Lists {
-	return &Lists{last: make(map[uint64][]provider.Run)}
+// NewRunLists returns the RunLists of a new connection.
+func NewRunLists() *RunLists {
+	return &RunLists{last: make(map[uint64][]provider.Run)}
 }
 
-// Shrink returns an answer as its difference from the last one, and remembers it.
-func (l *Lists) Shrink(host uint64, held provider.Held) *Held {
+// Encode encodes an answer as its difference from the previous one, and stores the
+// answer as the last one.
+func (l *RunLists) Encode(host uint64, held provider.Held) *Held {
 	type key struct {
 		task    string
 		attempt uint64
 	}
-	before := l.last[host]
-	at := make(map[key]int, len(before))
-	for i := range before {
-		at[key{before[i].Task, before[i].Attempt}] = i
+	previous := l.last[host]
+	index := make(map[key]int, len(previous))
+	for i := range previous {
+		index[key{previous[i].Task, previous[i].Attempt}] = i
 	}
 	h := &Held{Born: held.Born, Clock: held.Clock}
-	now := make([]provider.Run, 0, len(held.Running))
-	var fresh []provider.Run
+	running := make([]provider.Run, 0, len(held.Running))
+	var added []provider.Run
 	for _, r := range held.Running {
-		i, ok := at[key{r.Task, r.Attempt}]
+		i, ok := index[key{r.Task, r.Attempt}]
 		if !ok {
-			h.Fresh = append(h.Fresh, Run{Task: r.Task, Attempt: r.Attempt, Checkpoint: r.Checkpoint, Percent: r.Percent, Tail: r.Tail.Milliseconds(), Processors: r.Processors})
-			fresh = append(fresh, r)
+			h.Added = append(h.Added, Run{Task: r.Task, Attempt: r.Attempt, Checkpoint: r.Checkpoint, Percent: r.Percent, Tail: r.Tail.Milliseconds(), Processors: r.Processors})
+			added = append(added, r)
 			continue
 		}
 		k := Kept{Index: i, Percent: r.Percent, Tail: r.Tail.Milliseconds(), Processors: r.Processors}
-		if r.Checkpoint != before[i].Checkpoint {
+		if r.Checkpoint != previous[i].Checkpoint {
 			k.Checkpoint = r.Checkpoint
 		}
 		h.Kept = append(h.Kept, k)
-		now = append(now, r)
+		running = append(running, r)
 	}
-	l.last[host] = append(now, fresh...)
+	l.last[host] = append(running, added...)
 	for _, e := range held.Ended {
 		h.Ended = append(h.Ended, Ended{Number: e.Number, Task: e.Task, Attempt: e.Attempt, How: e.How, Checkpoint: e.Checkpoint})
 	}
 	return h
 }
 
-// Restore returns the answer that a difference stands for, and remembers it. One
-// that doesn't fit the list before says that the ends don't remember the same; the
-// connection has to be made anew.
-func (l *Lists) Restore(host uint64, h *Held) (provider.Held, error) {
-	before := l.last[host]
+// Decode decodes an answer from its difference, and stores the answer as the last one.
+// An error means that the lists of the two ends don't agree, and the connection must be
+// closed.
+func (l *RunLists) Decode(host uint64, h *Held) (provider.Held, error) {
+	previous := l.last[host]
 	held := provider.Held{Born: h.Born, Clock: h.Clock}
 	for _, k := range h.Kept {
-		if k.Index < 0 || k.Index >= len(before) {
-			return held, fault.New(fault.Invalid, "run %d of %d", k.Index, len(before))
+		if k.Index < 0 || k.Index >= len(previous) {
+			return held, fault.New(fault.Invalid, "run %d of %d", k.Index, len(previous))
 		}
-		r := before[k.Index]
+		r := previous[k.Index]
 		r.Percent = k.Percent
 		r.Tail = time.Duration(k.Tail) * time.Millisecond
 		r.Processors = k.Processors
@@ -114,7 +115,7 @@
 		}
 		held.Running = append(held.Running, r)
 	}
-	for _, f := range h.Fresh {
+	for _, f := range h.Added {
 		held.Running = append(held.Running, provider.Run{
 			Task:       f.Task,
 			Attempt:    f.Attempt,
--- a/relay/wire/lists_test.go
+++ b/relay/wire/lists_test.go
@@ -12,15 +12,15 @@
 	"github.com/dogwoodladder/dogwoodladder/relay/wire"
 )
 
-// Whatever a worker answers, the other end has the same runs and ends, though a run
-// is sent whole once only.
+// Checks that the receiving end restores the same runs and ends for any sequence of
+// answers, although each run is sent in full only once.
 func TestListsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		near, far := wire.NewLists(), wire.NewLists()
+		near, far := wire.NewRunLists(), wire.NewRunLists()
 		for range rapid.IntRange(1, 8).Draw(t, "answers") {
 			host := rapid.Uint64Range(0, 1).Draw(t, "host")
 			held := drawHeld(t)
-			data, err := wire.Encode(wire.Results{Results: []wire.Result{{Host: host, Held: near.Shrink(host, held)}}})
+			data, err := wire.Encode(wire.Results{Results: []wire.Result{{Host: host, Held: near.Encode(host, held)}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -28,11 +28,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := far.Restore(host, message.Results[0].Held)
+			got, err := far.Decode(host, message.Results[0].Held)
 			if err != nil {
 				t.Fatal(err)
 			}
-			same(t, got, held)
+			checkEqual(t, got, held)
 		}
 	})
 }
@@ -58,8 +58,8 @@
 	return held
 }
 
-// same compares answers; runs may come in another order.
-func same(t *rapid.T, got, want provider.Held) {
+// checkEqual compares answers; the order of runs may differ.
+func checkEqual(t *rapid.T, got, want provider.Held) {
 	runs := make(map[provider.Run]int)
 	for _, r := range want.Running {
 		runs[r]++
@@ -82,12 +82,12 @@
 	}
 }
 
-// A difference from a list that isn't known is no list.
-func TestListThatIsNotKnown(t *testing.T) {
+// Checks that a difference from an unknown list is rejected.
+func TestUnknownListIsRejected(t *testing.T) {
 	is := is.New(t)
-	_, err := wire.NewLists().Restore(1, &wire.Held{Kept: []wire.Kept{{Index: 0}}})
+	_, err := wire.NewRunLists().Decode(1, &wire.Held{Kept: []wire.Kept{{Index: 0}}})
 	is.True(fault.Is(err, fault.Invalid))
-	_, err = wire.NewLists().Restore(1, &wire.Held{Kept: []wire.Kept{{Index: -1}}})
+	_, err = wire.NewRunLists().Decode(1, &wire.Held{Kept: []wire.Kept{{Index: -1}}})
 	is.True(fault.Is(err, fault.Invalid))
 }
 
@@ -103,10 +103,10 @@
 		if err != nil {
 			return
 		}
-		lists := wire.NewLists()
+		lists := wire.NewRunLists()
 		for _, r := range results.Results {
 			if r.Held != nil {
-				_, _ = lists.Restore(r.Host, r.Held)
+				_, _ = lists.Decode(r.Host, r.Held)
 			}
 		}
 	})
--- a/relay/wire/spacing.go
+++ b/relay/wire/spacing.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Spacing keeps the messages of one direction apart.
+// Spacing enforces a least time between the messages of one direction.
 type Spacing struct {
 	last time.Time
 }
 
-// Wait returns when the next message may be sent: a gap after the last one, at
-// once if none was sent of late.
+// Wait blocks until the next message may be sent: a gap after the last one, which is
+// immediately if the connection was idle for longer.
 func (s *Spacing) Wait(ctx context.Context, gap time.Duration) {
 	if d := gap - time.Since(s.last); d > 0 {
 		select {
--- a/relay/wire/wire.go
+++ b/relay/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages between the owner of a cell and the instances
-// that relay its orders to workers.
+// Package wire defines the messages between the owner of a cell and the instances that
+// relay its orders to workers.
 //
 // Usage:
 //
@@ -7,10 +7,10 @@
 //	orders, err := wire.Decode[wire.Orders](data)
 //
 // A connection carries Orders in one direction and Results in the other, in
-// CBOR. What is known at the other end is named by a number: a worker and the
-// specification of a job are sent whole once, and the list of what runs on a
-// worker as its difference from the list before (package type Lists). A start
-// takes 70 bytes so, where one over HTTP takes 250 and the specification.
+// CBOR. Workers and job specifications are sent in full once per connection and
+// then referenced by number. The list of runs on a worker is sent as its
+// difference from the previous list; see type Lists. A start takes 70 bytes,
+// compared with 250 plus the specification over HTTP.
 package wire
 
 import (
@@ -22,18 +22,17 @@
 
 //go:generate go tool stringer -type=Kind,Outcome -output=strings.go
 
-// Path is where an instance takes connections; its number is the version of the
-// messages.
+// Path is the HTTP path of the connections; its number is the version of the protocol.
 const Path = "/relay/1"
 
-// ToHeader names the instance that a connection is meant for. An address may have
-// gone to another one.
+// ToHeader is the request header with the ID of the instance that a connection is meant
+// for. Another instance may have taken over its address.
 const ToHeader = "Relay-To"
 
-// MaxFrame bounds a message, in bytes.
-const MaxFrame = 4 << 20
+// MaxMessageSize is the maximum size of a message in bytes.
+const MaxMessageSize = 4 << 20
 
-// Kind is what an order asks for.
+// Kind is the kind of an order.
 type Kind uint8
 
 // Kinds of orders.
@@ -44,15 +43,15 @@
 	Pace
 )
 
-// Orders is what an owner sends.
+// Orders is the message of an owner.
 type Orders struct {
-	Sent   int64   `cbor:"1,keyasint"` // on the owner's clock, milliseconds
+	Sent   int64   `cbor:"1,keyasint"` // time on the owner's clock in milliseconds
 	Hosts  []Host  `cbor:"2,keyasint,omitempty"`
 	Orders []Order `cbor:"3,keyasint,omitempty"`
-	Gap    int64   `cbor:"4,keyasint,omitempty"` // least time between two Results from now on, microseconds
+	Gap    int64   `cbor:"4,keyasint,omitempty"` // least time between two Results from now on, in microseconds
 }
 
-// Host gives a worker its number on this connection.
+// Host assigns a worker its number on this connection.
 type Host struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
@@ -62,14 +61,14 @@
 
 // Order is an order to a worker. Fields that its kind doesn't need are zero.
 type Order struct {
-	Number     uint64 `cbor:"1,keyasint"` // of the order; the result has it too
+	Number     uint64 `cbor:"1,keyasint"` // identifies the order in its Result
 	Kind       Kind   `cbor:"2,keyasint,omitempty"`
 	Host       uint64 `cbor:"3,keyasint,omitempty"`
 	Token      uint64 `cbor:"4,keyasint,omitempty"`
 	Task       string `cbor:"5,keyasint,omitempty"`
 	Attempt    uint64 `cbor:"6,keyasint,omitempty"`
 	Spec       uint64 `cbor:"7,keyasint,omitempty"` // number of the specification
-	SpecText   string `cbor:"8,keyasint,omitempty"` // where the number is given to it
+	SpecText   string `cbor:"8,keyasint,omitempty"` // set if the number is new or reassigned
 	Deadline   int64  `cbor:"9,keyasint,omitempty"`
 	Seen       uint64 `cbor:"10,keyasint,omitempty"`
 	Wait       int64  `cbor:"11,keyasint,omitempty"` // milliseconds
@@ -78,18 +77,18 @@
 	Ticket     string `cbor:"14,keyasint,omitempty"`
 }
 
-// Results is what an instance sends back.
+// Results is the message of a relaying instance.
 type Results struct {
 	Results []Result `cbor:"1,keyasint,omitempty"`
-	Leaving bool     `cbor:"2,keyasint,omitempty"` // it takes no further orders
+	Leaving bool     `cbor:"2,keyasint,omitempty"` // the instance accepts no further orders
 }
 
-// Outcome is what became of an order.
+// Outcome tells how an order ended.
 type Outcome uint8
 
-// Outcomes: the worker answered; it has seen a higher token; a worker with
-// another ID answered; it refused; the order wasn't sent; it was sent and has no
-// answer; it came so late that it wasn't sent.
+// Outcomes of orders: the worker answered; it has seen a higher token; a worker with
+// another ID answered; the worker refused; the order wasn't sent; it was sent without an
+// answer; it reached the relay too late and wasn't sent.
 const (
 	Answered Outcome = iota
 	Fenced
@@ -104,13 +103,13 @@
 type Result struct {
 	Number  uint64           `cbor:"1,keyasint"`
 	Outcome Outcome          `cbor:"2,keyasint,omitempty"`
-	Text    string           `cbor:"3,keyasint,omitempty"` // of an outcome that isn't good
+	Text    string           `cbor:"3,keyasint,omitempty"` // error text of any outcome but Answered
 	Refusal provider.Refusal `cbor:"4,keyasint,omitempty"` // of a start
 	Host    uint64           `cbor:"5,keyasint,omitempty"` // of a hold
 	Held    *Held            `cbor:"6,keyasint,omitempty"` // of a hold
 }
 
-// OutcomeOf returns the outcome that stands for an error of an Executor.
+// OutcomeOf returns the outcome that represents an error of an Executor.
 func OutcomeOf(err error) Outcome {
 	if err == nil {
 		return Answered
@@ -128,7 +127,7 @@
 	return Unanswered
 }
 
-// Err returns the error that the outcome of a result stands for.
+// Err returns the error that the outcome represents, nil for Answered.
 func (r *Result) Err() error {
 	switch r.Outcome {
 	case Answered:
@@ -145,7 +144,7 @@
 	return fault.New(fault.MayHaveRun, "%s", r.Text)
 }
 
-// Encode returns a message as bytes.
+// Encode encodes a message.
 func Encode(message any) ([]byte, error) {
 	data, err := cbor.Marshal(message)
 	if err != nil {
@@ -154,7 +153,7 @@
 	return data, nil
 }
 
-// Decode reads a message. Keys of newer versions are passed over.
+// Decode decodes a message. Unknown keys, which newer versions may send, are ignored.
 func Decode[T any](data []byte) (T, error) {
 	var message T
 	if err := cbor.Unmarshal(data, &message); err != nil {
