--- a/tail/tail.go
+++ b/tail/tail.go
@@ -1,17 +1,16 @@
-// Package tail follows a keyed stream: first the newest record of each key,
-// page by page, then every record as it is written.
+// Package tail follows a keyed stream: it loads the newest record of each key,
+// page by page, and then reads every record as it is written.
 //
 // Usage:
 //
 //	t := tail.New(store, "jobs", apply, tail.WithSpacing(100*time.Millisecond))
 //	go t.Run(ctx)
-//	err := t.Refresh(ctx) // read to the end now
+//	err := t.Refresh(ctx) // returns once all records written so far are applied
 //
-// Records reach apply in the stream's order, but for the first ones, of which
-// only the newest of each key is given. A reader that fell behind what the
-// stream keeps starts anew with the newest records. Each batch says as of when
-// what was applied is whole, so that a decision can tell how old what it leans
-// on may be.
+// After the initial load, records reach apply in the stream's order. A reader that
+// falls behind the records that the stream retains loads the newest records
+// again. Each batch carries the time up to which all writes have been applied, so
+// that a decision knows the maximum age of its data.
 package tail
 
 import (
@@ -24,110 +23,112 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Times of reads. A read that is silent for longer than it was allowed to
-// wait has lost its connection; the store answers in milliseconds, and in a
-// quarter of a second when it is slow.
+// Times of reads. The store answers within milliseconds after a read's wait, and within
+// a quarter of a second when it is slow; a read that takes much longer has lost its
+// connection.
 const (
-	defaultWait  = time.Second
-	slack        = 900 * time.Millisecond
-	firstPause   = 50 * time.Millisecond
-	longestPause = 400 * time.Millisecond
-	// pageTimeout is for a page of the newest records, of up to 1 MB: a link of
-	// 10 Mbit/s takes 0.8 s for it, and other streams are loaded beside.
+	defaultWait       = time.Second
+	readTimeoutMargin = 900 * time.Millisecond
+	minRetryDelay     = 50 * time.Millisecond
+	maxRetryDelay     = 400 * time.Millisecond
+	// pageTimeout bounds the read of a page of newest records. A page has up to 1 MB,
+	// which takes 0.8 s over a link of 10 Mbit/s, and other streams are loaded at the
+	// same time.
 	pageTimeout = 3 * time.Second
-	// partialAge is how old the first page of a load may be when it goes on.
-	// What was written since must still be kept, which is 20 s here.
-	partialAge = 10 * time.Second
+	// maxPartialAge is the maximum age of a load's first page when the load is resumed.
+	// The stream must still retain all records written since; it does so for 20 s.
+	maxPartialAge = 10 * time.Second
 )
 
-// Batch is what a good read brought; nothing, if nothing was written.
+// Batch is the result of a successful read. It has no records if none were written.
 type Batch struct {
 	Records []provider.KeyedRecord
-	// Whole says that Records are the newest record of every key, so that a
-	// key which isn't among them is gone.
+	// Whole means that Records holds the newest record of every key, so that keys not
+	// among them have been deleted.
 	Whole bool
-	// AsOf is a time on the reader's clock. With this batch, all that was
-	// written before it has been applied.
+	// AsOf is a time on the reader's clock. With this batch, all records written before
+	// that time have been applied.
 	AsOf time.Duration
 }
 
-// Apply takes the batches of a stream, one at a time and in order.
+// Apply processes the batches of a stream, one at a time and in order.
 type Apply func(Batch)
 
-// Tail follows one stream. It may be used by several goroutines.
+// Tail follows one stream. It is safe for concurrent use.
 type Tail struct {
 	store  provider.Keyed
 	stream string
 	apply  Apply
 	wait   time.Duration
 
-	spacing atomic.Int64 // least time between two reads
-	read    atomic.Int64 // when the last good answer came, on clock
-	clock   func() time.Duration
-	loaded  chan struct{}
-	onError func(error)
-	paused  atomic.Bool
-	failing atomic.Bool // the reader's last read failed
-	resume  chan struct{}
-
-	loadOnce sync.Once     // closes loaded
-	loading  chan struct{} // held by the one that loads; no mutex, as virtual time stands still for those who wait for one
-	partial  *partial      // of the one that holds loading
-	mu       sync.Mutex    // guards next, have, asOf and the order of apply
-	next     uint64
-	have     bool
-	asOf     time.Duration // all that was written before it was applied
-	end      atomic.Uint64 // of the stream, as of the last answer
-
-	reading    chan struct{} // held by the one that reads to the end; the same
-	refreshing sync.Mutex    // guards upcoming
-	upcoming   *refresh
+	spacing        atomic.Int64 // least time between two reads
+	lastAnswer     atomic.Int64 // time of the last successful read, on clock
+	clock          func() time.Duration
+	loadedSignal   chan struct{}
+	onError        func(error)
+	paused         atomic.Bool
+	lastReadFailed atomic.Bool // whether the last read of Run failed
+	resumeSignal   chan struct{}
+
+	loadOnce      sync.Once     // closes loadedSignal
+	loadSemaphore chan struct{} // held while loading; no mutex, as the virtual time of synctest doesn't advance while one is waited for
+	partial       *partialLoad  // guarded by loadSemaphore; nil without an unfinished load
+	mu            sync.Mutex    // guards next, isLoaded, asOf and the order of apply
+	next          uint64
+	isLoaded      bool
+	asOf          time.Duration // all records written before it have been applied
+	streamEnd     atomic.Uint64 // end offset of the stream in the last response
+
+	refreshSemaphore chan struct{} // held while a refresh runs, like loadSemaphore
+	refreshing       sync.Mutex    // guards upcoming
+	upcoming         *refresh
 }
 
-// Option sets up a Tail.
+// Option configures a Tail.
 type Option func(*Tail)
 
-// WithSpacing sets the least time between two reads, which bounds what the
-// reader costs the store. The default is no pause.
+// WithSpacing sets the least time between the starts of two reads, which bounds the load
+// on the store. The default is zero.
 func WithSpacing(d time.Duration) Option {
 	return func(t *Tail) { t.spacing.Store(int64(d)) }
 }
 
-// WithWait sets how long a read waits for a record.
+// WithWait sets how long a read waits for new records.
 func WithWait(d time.Duration) Option {
 	return func(t *Tail) { t.wait = d }
 }
 
-// WithPause has the reader begin paused.
+// WithPause starts the reader paused.
 func WithPause() Option {
 	return func(t *Tail) { t.paused.Store(true) }
 }
 
-// WithClock sets the clock of Batch.AsOf and Age. The default stands still while
-// the machine is suspended, so that what was read before counts as new after it.
+// WithClock sets the clock of Batch.AsOf and Age. The default clock excludes time in
+// which the machine is suspended, so that records read before a suspension look recent
+// after it.
 func WithClock(clock func() time.Duration) Option {
 	return func(t *Tail) { t.clock = clock }
 }
 
-// WithErrors sets what is told of reads that fail.
+// WithErrors sets a function that is called with the error of each failed read.
 func WithErrors(f func(error)) Option {
 	return func(t *Tail) { t.onError = f }
 }
 
-// New returns a Tail that hands records to apply.
+// New returns a Tail that passes the stream's records to apply.
 func New(store provider.Keyed, stream string, apply Apply, opts ...Option) *Tail {
-	begun := time.Now()
+	start := time.Now()
 	t := &Tail{
-		store:   store,
-		stream:  stream,
-		apply:   apply,
-		wait:    defaultWait,
-		clock:   func() time.Duration { return time.Since(begun) },
-		loaded:  make(chan struct{}),
-		onError: func(error) {},
-		resume:  make(chan struct{}, 1),
-		loading: make(chan struct{}, 1),
-		reading: make(chan struct{}, 1),
+		store:            store,
+		stream:           stream,
+		apply:            apply,
+		wait:             defaultWait,
+		clock:            func() time.Duration { return time.Since(start) },
+		loadedSignal:     make(chan struct{}),
+		onError:          func(error) {},
+		resumeSignal:     make(chan struct{}, 1),
+		loadSemaphore:    make(chan struct{}, 1),
+		refreshSemaphore: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(t)
@@ -140,38 +141,38 @@
 	t.spacing.Store(int64(d))
 }
 
-// Pause has the reader stop, or go on. One that goes on reads what was written
-// in between, or the newest records if that isn't kept any more. While it is
-// paused, Refresh reads all the same.
+// Pause pauses or resumes the reader. A resumed reader reads the records written
+// meanwhile, or loads the newest records if those aren't retained any more. Refresh also
+// reads while the reader is paused.
 func (t *Tail) Pause(paused bool) {
 	if t.paused.Swap(paused) == paused || paused {
 		return
 	}
 	select {
-	case t.resume <- struct{}{}:
+	case t.resumeSignal <- struct{}{}:
 	default:
 	}
 }
 
-// waitResumed waits while the reader is paused.
-func (t *Tail) waitResumed(ctx context.Context) {
+// waitUntilResumed waits while the reader is paused.
+func (t *Tail) waitUntilResumed(ctx context.Context) {
 	for t.paused.Load() && ctx.Err() == nil {
 		select {
-		case <-t.resume:
+		case <-t.resumeSignal:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Loaded is closed once the newest records were applied.
+// Loaded returns a channel that is closed after the initial load.
 func (t *Tail) Loaded() <-chan struct{} {
-	return t.loaded
+	return t.loadedSignal
 }
 
-// Age returns the time since the last good answer. It is an hour or more
-// before the first one.
+// Age returns the time since the last successful read, and at least an hour before the
+// first one.
 func (t *Tail) Age() time.Duration {
-	read := t.read.Load()
+	read := t.lastAnswer.Load()
 	if read == 0 {
 		return time.Hour
 	}
@@ -180,7 +181,7 @@
 
 // Failing reports whether the last read of Run failed.
 func (t *Tail) Failing() bool {
-	return t.failing.Load()
+	return t.lastReadFailed.Load()
 }
 
 // Next returns the offset after the last record applied.
@@ -194,18 +195,18 @@
 func (t *Tail) Run(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
-		t.waitResumed(ctx)
+		t.waitUntilResumed(ctx)
 		sent := time.Now()
 		wait := t.wait
 		if failures > 0 {
-			wait = 0 // it is to be known at once that reads are answered again
+			wait = 0 // detect immediately when reads succeed again
 		}
-		err := t.once(ctx, wait)
-		t.failing.Store(err != nil)
+		err := t.readOnce(ctx, wait)
+		t.lastReadFailed.Store(err != nil)
 		if err != nil && ctx.Err() == nil {
 			t.onError(err)
 			failures++
-			sleep(ctx, min(longestPause, firstPause<<min(failures, 4)))
+			sleep(ctx, min(maxRetryDelay, minRetryDelay<<min(failures, 4)))
 			continue
 		}
 		failures = 0
@@ -214,17 +215,16 @@
 	return nil
 }
 
-// Refresh reads until it has seen the stream's end as of now. Those that ask
-// while a read is under way share the next one: it begins after they have
-// asked, and a narrow link carries one answer to its end rather than many to
-// none.
+// Refresh reads up to the end that the stream has at the time of the call. Calls made
+// during a refresh share the next one, which starts after all of them. Over a slow link
+// one shared response arrives in time where many concurrent ones wouldn't.
 func (t *Tail) Refresh(ctx context.Context) error {
 	t.refreshing.Lock()
 	f := t.upcoming
 	if f == nil {
 		f = &refresh{done: make(chan struct{})}
 		t.upcoming = f
-		go t.serve(f)
+		go t.runRefresh(f)
 	}
 	t.refreshing.Unlock()
 	select {
@@ -235,92 +235,93 @@
 	}
 }
 
-// refresh is a read that several wait for.
+// refresh is a read to the stream's end, shared by several calls of Refresh.
 type refresh struct {
 	done chan struct{}
 	err  error
 }
 
-// serve does the read once the one under way has ended.
-func (t *Tail) serve(f *refresh) {
-	t.reading <- struct{}{}
+// runRefresh runs a refresh after the one in progress has ended.
+func (t *Tail) runRefresh(f *refresh) {
+	t.refreshSemaphore <- struct{}{}
 	t.refreshing.Lock()
 	t.upcoming = nil
 	t.refreshing.Unlock()
 	f.err = t.readToEnd()
-	<-t.reading
+	<-t.refreshSemaphore
 	close(f.done)
 }
 
-// readToEnd reads what there is. It isn't bound to any of those who wait for
-// it, only to the time-outs of its reads. A load may have begun before they
-// asked, so a read follows it.
+// readToEnd reads up to the stream's end. It is bounded by the timeouts of its reads, not
+// by the contexts of the calls that wait for it. A load is followed by a read, since it
+// may have started before those calls.
 func (t *Tail) readToEnd() error {
 	ctx := context.Background()
-	if _, have := t.position(); !have {
+	if _, loaded := t.nextOffset(); !loaded {
 		if err := t.load(ctx); err != nil {
 			return err
 		}
 	}
 	for {
-		if err := t.once(ctx, 0); err != nil {
+		if err := t.readOnce(ctx, 0); err != nil {
 			return err
 		}
-		if from, _ := t.position(); from >= t.end.Load() {
+		if from, _ := t.nextOffset(); from >= t.streamEnd.Load() {
 			return nil
 		}
 	}
 }
 
-// once reads the next records after the last, or all of the newest ones.
-func (t *Tail) once(ctx context.Context, wait time.Duration) error {
-	from, have := t.position()
-	if !have {
+// readOnce reads the records after the last one applied, or loads the newest records.
+func (t *Tail) readOnce(ctx context.Context, wait time.Duration) error {
+	from, loaded := t.nextOffset()
+	if !loaded {
 		return t.load(ctx)
 	}
-	timed, cancel := context.WithTimeout(ctx, wait+slack)
+	readCtx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
 	sent := t.clock()
-	page, err := t.store.Read(timed, t.stream, from, wait)
+	page, err := t.store.Read(readCtx, t.stream, from, wait)
 	if fault.Is(err, fault.Expired) {
-		t.restart()
+		t.requireLoad()
 		return t.load(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	t.accept(from, page, sent)
+	t.applyPage(from, page, sent)
 	return nil
 }
 
-func (t *Tail) position() (uint64, bool) {
+func (t *Tail) nextOffset() (uint64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.next, t.have
+	return t.next, t.isLoaded
 }
 
-// restart has the next read begin with the newest records.
-func (t *Tail) restart() {
+// requireLoad makes the next read load the newest records.
+func (t *Tail) requireLoad() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.have = false
+	t.isLoaded = false
 }
 
-// load reads the newest records, page by page. One that fails goes on where
-// the last one ended, as long as what was written since its first page is kept.
+// load reads the newest records, page by page. After a failure the next load resumes
+// with the failed page, as long as the stream retains the records written since the
+// first page.
 func (t *Tail) load(ctx context.Context) error {
-	t.loading <- struct{}{}
-	defer func() { <-t.loading }()
-	if _, have := t.position(); have {
-		return nil // loaded while this one waited
+	t.loadSemaphore <- struct{}{}
+	defer func() { <-t.loadSemaphore }()
+	if _, loaded := t.nextOffset(); loaded {
+		return nil // another goroutine has loaded them meanwhile
 	}
 	l := t.partial
-	if l == nil || t.clock()-l.begun > partialAge {
-		l = &partial{begun: t.clock()}
+	if l == nil || t.clock()-l.startedAt > maxPartialAge {
+		l = &partialLoad{startedAt: t.clock()}
 		t.partial = l
 	}
 	for first := len(l.records) == 0; ; first = false {
-		page, err := t.page(ctx, l.after)
+		page, err := t.readPage(ctx, l.after)
 		if err != nil {
 			return err
 		}
@@ -334,40 +335,40 @@
 		}
 	}
 	t.partial = nil
-	t.loadedAll(l)
+	t.finishLoad(l)
 	return nil
 }
 
-// partial is a load that has read some pages.
-type partial struct {
-	begun   time.Duration // on the reader's clock
-	records []provider.KeyedRecord
-	after   string // key of the last one
-	next    uint64 // offset from which to read on
+// partialLoad is an unfinished load with the pages read so far.
+type partialLoad struct {
+	startedAt time.Duration // time on the reader's clock
+	records   []provider.KeyedRecord
+	after     string // key of the last record
+	next      uint64 // offset at which reading continues
 }
 
-func (t *Tail) page(ctx context.Context, after string) (provider.KeyedPage, error) {
+func (t *Tail) readPage(ctx context.Context, after string) (provider.KeyedPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return t.store.Newest(ctx, t.stream, after)
 }
 
-func (t *Tail) loadedAll(l *partial) {
+func (t *Tail) finishLoad(l *partialLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asOf = l.begun // its first page may lack all that was written since
+	t.asOf = l.startedAt // records written since then may be missing in the first page
 	t.apply(Batch{Records: l.records, Whole: true, AsOf: t.asOf})
 	t.next = max(t.next, l.next)
-	t.end.Store(l.next)
-	t.read.Store(int64(t.clock()))
-	t.have = true
-	t.loadOnce.Do(func() { close(t.loaded) })
+	t.streamEnd.Store(l.next)
+	t.lastAnswer.Store(int64(t.clock()))
+	t.isLoaded = true
+	t.loadOnce.Do(func() { close(t.loadedSignal) })
 }
 
-// accept applies the records that no other read has brought. A read that was
-// answered up to the stream's end has brought all that was written before it
-// was sent; one that was cut off by its size has not.
-func (t *Tail) accept(from uint64, page provider.KeyedPage, sent time.Duration) {
+// applyPage applies those records of a page that no other read has applied. A page that
+// reaches the stream's end covers all records written before the read was sent; a page
+// truncated by its size doesn't.
+func (t *Tail) applyPage(from uint64, page provider.KeyedPage, sent time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	records := page.Records
@@ -379,8 +380,8 @@
 		t.asOf = max(t.asOf, sent)
 	}
 	t.apply(Batch{Records: records, AsOf: t.asOf})
-	t.end.Store(max(t.end.Load(), page.Next)) // an older answer may come after a newer one
-	t.read.Store(int64(t.clock()))
+	t.streamEnd.Store(max(t.streamEnd.Load(), page.Next)) // responses may arrive out of order
+	t.lastAnswer.Store(int64(t.clock()))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/tail/tail_test.go
+++ b/tail/tail_test.go
@@ -17,39 +17,39 @@
 
 const pageRecords = 10
 
-// narrowStore sends one answer at a time, as over a narrow link, and takes a
-// while for a page.
-type narrowStore struct {
+// slowLinkStore transfers one response at a time, as over a slow link, and takes a given
+// time per page.
+type slowLinkStore struct {
 	provider.Keyed
-	link    chan struct{}
-	page    time.Duration
-	failing int // page that is lost once, -1 for none
-
-	mu      sync.Mutex
-	records []provider.KeyedRecord
-	kept    uint64 // first offset that can be read
-	most    int    // records in an answer to a read, zero for no bound
-	pages   int
-	reads   int
+	link     chan struct{}
+	page     time.Duration
+	lostPage int // page whose first transfer fails, -1 for none
+
+	mu         sync.Mutex
+	records    []provider.KeyedRecord
+	firstKept  uint64 // first offset that is retained
+	maxRecords int    // per read, zero for no bound
+	pages      int
+	reads      int
 }
 
-func newNarrowStore(records int, page time.Duration) *narrowStore {
-	s := &narrowStore{link: make(chan struct{}, 1), page: page, failing: -1}
+func newSlowLinkStore(records int, page time.Duration) *slowLinkStore {
+	s := &slowLinkStore{link: make(chan struct{}, 1), page: page, lostPage: -1}
 	for i := range records {
 		s.records = append(s.records, provider.KeyedRecord{Key: fmt.Sprintf("%04d", i), Value: []byte{1}, Offset: uint64(i)})
 	}
 	return s
 }
 
-// asked returns how many pages and reads were answered so far.
-func (s *narrowStore) asked() (pages, reads int) {
+// counts returns how many pages and reads were answered so far.
+func (s *slowLinkStore) counts() (pages, reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pages, s.reads
 }
 
-// transfer holds the link for an answer's time.
-func (s *narrowStore) transfer(ctx context.Context, d time.Duration) error {
+// transfer occupies the link for the duration of a response.
+func (s *slowLinkStore) transfer(ctx context.Context, d time.Duration) error {
 	select {
 	case s.link <- struct{}{}:
 	case <-ctx.Done():
@@ -64,13 +64,13 @@
 	}
 }
 
-func (s *narrowStore) Newest(ctx context.Context, _, after string) (provider.KeyedPage, error) {
+func (s *slowLinkStore) Newest(ctx context.Context, _, after string) (provider.KeyedPage, error) {
 	if err := s.transfer(ctx, s.page); err != nil {
 		return provider.KeyedPage{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pages++; s.pages-1 == s.failing {
+	if s.pages++; s.pages-1 == s.lostPage {
 		return provider.KeyedPage{}, fault.New(fault.Unavailable, "lost")
 	}
 	page := provider.KeyedPage{Next: uint64(len(s.records))}
@@ -87,25 +87,25 @@
 	return page, nil
 }
 
-func (s *narrowStore) Read(ctx context.Context, _ string, from uint64, wait time.Duration) (provider.KeyedPage, error) {
+func (s *slowLinkStore) Read(ctx context.Context, _ string, from uint64, wait time.Duration) (provider.KeyedPage, error) {
 	if err := s.transfer(ctx, time.Millisecond); err != nil {
 		return provider.KeyedPage{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if from < s.kept {
+	if from < s.firstKept {
 		return provider.KeyedPage{}, fault.New(fault.Expired, "offset %d", from)
 	}
 	records := s.records[from:]
-	if s.most > 0 {
-		records = records[:min(s.most, len(records))]
+	if s.maxRecords > 0 {
+		records = records[:min(s.maxRecords, len(records))]
 	}
 	return provider.KeyedPage{Records: records, Next: uint64(len(s.records))}, nil
 }
 
 // write adds records.
-func (s *narrowStore) write(keys ...string) {
+func (s *slowLinkStore) write(keys ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range keys {
@@ -113,13 +113,12 @@
 	}
 }
 
-// A batch says as of when what was applied is whole, never later than that:
-// a load since its first page was asked for, a read since it was sent, and only
-// if it brought all there is.
-func TestBatchTellsItsAge(t *testing.T) {
+// Checks Batch.AsOf: a load is current as of the request for its first page, a read as of
+// its request, and only if it reaches the stream's end.
+func TestBatchAsOf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newNarrowStore(3*pageRecords, 500*time.Millisecond)
+		s := newSlowLinkStore(3*pageRecords, 500*time.Millisecond)
 		batches := make(chan tail.Batch, 10)
 		reader := tail.New(s, "jobs", func(b tail.Batch) { batches <- b }, tail.WithSpacing(time.Second))
 		ctx, cancel := context.WithCancel(t.Context())
@@ -134,11 +133,11 @@
 		is.Equal(len(read.Records), 0)
 		is.Equal(read.AsOf, 1500*time.Millisecond)
 
-		s.most = 1
+		s.maxRecords = 1
 		s.write("a", "b")
 		cut := <-batches
 		is.Equal(len(cut.Records), 1)
-		is.Equal(cut.AsOf, read.AsOf) // there is more
+		is.Equal(cut.AsOf, read.AsOf) // the page was truncated
 
 		rest := <-batches
 		is.Equal(len(rest.Records), 1)
@@ -149,7 +148,7 @@
 }
 
 // follow runs a Tail over the store until the test ends.
-func follow(t *testing.T, s *narrowStore) (*tail.Tail, func() int) {
+func follow(t *testing.T, s *slowLinkStore) (*tail.Tail, func() int) {
 	var mu sync.Mutex
 	keys := make(map[string]bool)
 	apply := func(b tail.Batch) {
@@ -177,11 +176,10 @@
 	}
 }
 
-// Symptom: an instance that restarts on a narrow link answers 503 for every
-// job, for minutes. Sequence: the newest records of 2,000 jobs take three
-// seconds to arrive. Cause: all pages had to arrive within the time-out of one
-// answer, and each try began with the first page.
-func TestLoadOverNarrowLink(t *testing.T) {
+// Guards against an instance that never finishes its initial load after a restart on a
+// slow link, and answers 503 for every job: the newest records of 2,000 jobs take three
+// seconds, more than the timeout of one page, and a retry mustn't start from the first.
+func TestLoadOverSlowLink(t *testing.T) {
 	tests := []struct {
 		name    string
 		failing int
@@ -194,12 +192,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newNarrowStore(5*pageRecords, 700*time.Millisecond)
-				s.failing = tt.failing
+				s := newSlowLinkStore(5*pageRecords, 700*time.Millisecond)
+				s.lostPage = tt.failing
 				reader, known := follow(t, s)
 				time.Sleep(6 * time.Second)
 				is.Equal(known(), 5*pageRecords)
-				pages, _ := s.asked()
+				pages, _ := s.counts()
 				is.Equal(pages, tt.pages)
 				is.True(reader.Age() < 2*time.Second)
 			})
@@ -207,14 +205,12 @@
 	}
 }
 
-// Symptom: an instance never gets to know its jobs while callers ask for them.
-// Sequence: it restarts on a narrow link, and fifty callers ask for jobs that it
-// doesn't know yet. Cause: each question loaded all records beside the others,
-// and the link carried none of them to its end.
-func TestQuestionsShareOneLoad(t *testing.T) {
+// Guards against concurrent loads that saturate a slow link so that none completes: after
+// a restart, fifty callers ask for jobs that the instance hasn't loaded yet.
+func TestRefreshesShareOneLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newNarrowStore(3*pageRecords, 500*time.Millisecond)
+		s := newSlowLinkStore(3*pageRecords, 500*time.Millisecond)
 		reader, known := follow(t, s)
 		answers := make(chan error, 50)
 		for range cap(answers) {
@@ -226,20 +222,18 @@
 			is.NoErr(<-answers)
 		}
 		is.Equal(known(), 3*pageRecords)
-		pages, reads := s.asked()
+		pages, reads := s.counts()
 		is.Equal(pages, 3)
-		is.True(reads < 6) // one for all that asked, the others by Run
+		is.True(reads < 6) // one for all refreshes, the others by Run
 	})
 }
 
-// Symptom: an answer says that a job doesn't exist, though it was accepted.
-// Sequence: a read is under way when the job is written, and a question that
-// comes after it joins the read. Cause: the read may have passed the stream's
-// end before.
-func TestRefreshBeginsAfterTheQuestion(t *testing.T) {
+// Guards against a refresh that misses a job accepted before it: a read in progress may
+// already have passed the stream's end, so a later call must not join it.
+func TestRefreshStartsAfterCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newNarrowStore(1, time.Millisecond)
+		s := newSlowLinkStore(1, time.Millisecond)
 		reader, known := follow(t, s)
 		<-reader.Loaded()
 		first := make(chan error, 1)
