--- a/document/document.go
+++ b/document/document.go
@@ -1,7 +1,7 @@
-// Package document reads strict YAML files and reports every problem with
-// its place. The packages for one kind of file say which fields there are;
-// this package walks the file, refuses what is unknown, missing or written
-// twice, and bounds what a hostile file can cost.
+// Package document reads strict YAML files and reports every problem with its
+// position. The packages for the kinds of files define the fields; this package
+// walks the file, rejects unknown, missing and duplicate fields, and bounds the
+// cost of a hostile file.
 //
 // Usage:
 //
@@ -35,12 +35,12 @@
 	MaxSize     = 1 << 20 // bytes
 	MaxDepth    = 32      // nested levels
 	MaxKeys     = 1000    // of one block mapping
-	MaxValues   = 500_000 // values read, each use of an alias counted anew
+	MaxValues   = 500_000 // values read, counting each use of an alias
 	MaxProblems = 200     // problems listed; the rest are counted
 )
 
-// Read parses data and calls read with its root. It returns nil or a
-// Problems with whatever was found before or during the call.
+// Read parses data and calls read with its root. It returns nil, or Problems with all
+// problems found before or during the call.
 func Read(file string, data []byte, read func(root Node)) error {
 	r := &reader{file: file, anchors: map[string]*ast.AnchorNode{}}
 	if root, ok := r.parse(data); ok {
@@ -87,9 +87,9 @@
 
 // syntax returns the syntax tree of text.
 //
-// A defect in the YAML library may show as a panic; none is known in this
-// version. A daemon that reads a published manifest would die of it at every
-// start. The recover turns the panic into a problem of the file.
+// It recovers from a panic of the YAML library and reports it as a problem of the
+// file; a daemon that reads a published manifest would otherwise crash at every
+// start. No such panic is known in this version.
 func (r *reader) syntax(text string) (file *ast.File, ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -98,7 +98,7 @@
 		}
 	}()
 	tokens := lexer.Tokenize(text)
-	if at, reason := excess(tokens); at != nil {
+	if at, reason := findExcess(tokens); at != nil {
 		r.report(r.place(at), "%s", reason)
 		return nil, false
 	}
@@ -115,8 +115,8 @@
 	return nil, false
 }
 
-// Visit collects anchors and refuses what the reader doesn't support. It
-// implements ast.Visitor.
+// Visit collects anchors, and reports tags and duplicate anchors. It implements
+// ast.Visitor.
 func (r *reader) Visit(node ast.Node) ast.Visitor {
 	switch n := node.(type) {
 	case *ast.TagNode:
@@ -132,8 +132,9 @@
 	return r
 }
 
-// resolve follows anchors and aliases to a value, and nil when there is none.
-// An alias may only follow the anchor's value, so a value can't hold itself.
+// resolve follows anchors and aliases to a value, nil if there is none. An alias must
+// come after its anchor; MaxDepth bounds a chain of aliases, and MaxValues the reading of a
+// value that contains an alias of itself.
 func (r *reader) resolve(node ast.Node) ast.Node {
 	for range MaxDepth {
 		switch n := node.(type) {
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// spend counts one value that is read and reports whether it may be.
-func (r *reader) spend(at *token.Token) bool {
+// countValue counts a value to be read and reports whether the limit allows it.
+func (r *reader) countValue(at *token.Token) bool {
 	r.values++
 	if r.values > MaxValues && !r.stopped {
 		r.problems, r.dropped = nil, 0
@@ -199,8 +200,8 @@
 	return Place{File: r.file, Line: max(t.Position.Line, 1), Column: max(t.Position.Column, 1)}
 }
 
-// firstToken returns where a value starts. The library names the colon as a
-// block mapping's token; a reader looks for its first key.
+// firstToken returns the first token of a value. The library returns the colon as the
+// token of a block mapping, for which the first key is a better position.
 func firstToken(node ast.Node) *token.Token {
 	switch n := node.(type) {
 	case nil:
--- a/document/nesting.go
+++ b/document/nesting.go
@@ -6,15 +6,14 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// excess returns the first token that goes beyond MaxDepth or MaxKeys and the
-// reason, and nil when there is none.
+// findExcess returns the first token that exceeds MaxDepth or MaxKeys and the reason,
+// nil if there is none.
 //
-// The parser recurses once for a level and once for a key of a block mapping,
-// and a megabyte of "[" is a million levels: the stack would outgrow its
-// limit, which ends the process and can't be recovered from, and a mapping of
-// 200,000 keys takes more than a minute. So both are counted on the flat list
-// of tokens first.
-func excess(tokens token.Tokens) (*token.Token, string) {
+// The parser recurses once per level and once per key of a block mapping. A megabyte of
+// "[" is a million levels and would overflow the stack, which ends the process and can't
+// be recovered from; a mapping of 200,000 keys takes more than a minute. Both are
+// therefore counted on the flat list of tokens first.
+func findExcess(tokens token.Tokens) (*token.Token, string) {
 	var n nesting
 	for _, t := range tokens {
 		n.add(t)
@@ -28,8 +27,8 @@
 	return nil, ""
 }
 
-// nesting follows the open levels of a list of tokens. Flow counts open
-// brackets; prefixes counts anchors and tags that stand in a row.
+// nesting tracks the open levels while tokens are added. Flow counts open brackets;
+// prefixes counts consecutive anchors and tags.
 type nesting struct {
 	blocks   []block
 	flow     int
@@ -74,8 +73,8 @@
 	}
 }
 
-// open closes the blocks right of t and opens one at its column, unless it
-// is open.
+// open closes the blocks to the right of t's column and opens one at the column, unless
+// there is one.
 func (n *nesting) open(t *token.Token, keys int) {
 	if n.flow > 0 || t == nil || t.Position == nil {
 		return
--- a/document/node.go
+++ b/document/node.go
@@ -8,32 +8,32 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Node is one value of a file and its place. The zero Node stands for a value
-// that isn't there; reporting on it does nothing.
+// Node is a value of a file and its position. The zero Node represents a missing value;
+// reporting problems on it does nothing.
 type Node struct {
 	reader *reader
 	value  ast.Node
 	token  *token.Token
 }
 
-// Field is a key that a mapping may hold and what reads its value.
+// Field is a key that a mapping may contain, and the function that reads its value.
 type Field struct {
 	Key      string
 	Required bool
 	Read     func(Node)
 }
 
-// Required returns a field that must be there.
+// Required returns a field that must be present.
 func Required(key string, read func(Node)) Field {
 	return Field{Key: key, Required: true, Read: read}
 }
 
-// Optional returns a field that may be left out.
+// Optional returns a field that may be absent.
 func Optional(key string, read func(Node)) Field {
 	return Field{Key: key, Read: read}
 }
 
-// Into returns a reader of a scalar that stores what parse makes of its text.
+// Into returns a reader of a scalar that parses its text and stores the result in target.
 func Into[T any](target *T, parse func(text string) (T, error)) func(Node) {
 	return func(n Node) {
 		text, ok := n.Text()
@@ -49,7 +49,7 @@
 	}
 }
 
-// Keep returns read, and stores the node it is called with.
+// Keep returns a function that stores its node in target and calls read.
 func Keep(target *Node, read func(Node)) func(Node) {
 	return func(n Node) {
 		*target = n
@@ -57,19 +57,19 @@
 	}
 }
 
-// Report adds a problem at the node's place.
+// Report adds a problem at the node's position.
 func (n Node) Report(format string, args ...any) {
 	if n.reader != nil {
 		n.reader.report(n.Place(), format, args...)
 	}
 }
 
-// Sound reports whether no problem was found in the file so far.
+// Sound reports whether no problem has been found in the file so far.
 func (n Node) Sound() bool {
 	return n.reader == nil || len(n.reader.problems) == 0
 }
 
-// Place returns where the node stands.
+// Place returns the node's position in the file.
 func (n Node) Place() Place {
 	if n.reader == nil {
 		return Place{}
@@ -99,9 +99,9 @@
 	}
 }
 
-// Entries reads a mapping with any keys, each given with its own place, and
-// reports whether it is one. A key that stands twice is reported and read
-// once.
+// Entries reads a mapping with arbitrary keys, each passed with a node for the key's
+// position, and reports whether the node is a mapping. A duplicate key is reported, and
+// only its first value is read.
 func (n Node) Entries(read func(key string, at, value Node)) bool {
 	values, ok := n.mapping()
 	if !ok {
@@ -189,9 +189,9 @@
 	return nil, false
 }
 
-// open returns the value behind the node, with aliases followed.
+// open returns the node's value, following aliases.
 func (n Node) open() (ast.Node, bool) {
-	if n.reader == nil || !n.reader.spend(n.token) {
+	if n.reader == nil || !n.reader.countValue(n.token) {
 		return nil, false
 	}
 	value := n.reader.resolve(n.value)
--- a/document/problem.go
+++ b/document/problem.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Place is where something stands in a file. Lines and columns start at 1.
+// Place is a position in a file. Lines and columns start at 1.
 type Place struct {
 	File   string
 	Line   int
 	Column int
 }
 
-// Problem is one fault of a file and where it stands.
+// Problem is an error in a file and its position.
 type Problem struct {
 	Place
 	Reason string
@@ -25,10 +25,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Reason)
 }
 
-// Problems is the error for a file that is refused, sorted by place.
+// Problems is the error for a rejected file, sorted by position.
 type Problems []Problem
 
-// Error returns the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -37,7 +37,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Sort orders the problems by place.
+// Sort sorts the problems by position.
 func (p Problems) Sort() {
 	slices.SortStableFunc(p, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/document/scalar.go
+++ b/document/scalar.go
@@ -15,7 +15,7 @@
 	MaxDuration = 30 * 24 * time.Hour
 )
 
-// Name parses an identifier: lower-case letters, digits and inner hyphens.
+// Name parses an identifier of lower-case letters, digits and inner hyphens.
 func Name(text string) (string, error) {
 	if text == "" || len(text) > MaxName {
 		return "", fmt.Errorf("name of %d characters, want 1 to %d", len(text), MaxName)
@@ -29,7 +29,7 @@
 	return text, nil
 }
 
-// Text parses printable text of at most MaxText bytes; lines may end in \n.
+// Text parses printable text of at most MaxText bytes. Newlines and tabs are allowed.
 func Text(text string) (string, error) {
 	if len(text) > MaxText {
 		return "", fmt.Errorf("text of %d bytes, limit %d", len(text), MaxText)
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs builds a logger that never holds up its process: lines wait in
-// a bounded buffer, and what doesn't fit is counted and left out.
+// Package logs builds a logger that never blocks its process. Lines are queued in
+// a bounded buffer, and lines that don't fit are dropped and counted.
 //
 // Usage:
 //
@@ -7,10 +7,9 @@
 //	defer stop()
 //	logger.Info("accept", zap.String("job", id))
 //
-// A line is key=value pairs. Of lines with the same message only so many a
-// second are written; those of the messages that are kept always are, and have
-// room in the buffer that the others don't take. Once a second a line for each
-// message tells how many of its lines were left out.
+// A line consists of key=value pairs. The number of lines with the same message is
+// limited per second, except for kept messages, which also have reserved space in
+// the buffer. Once a second the number of dropped lines is logged for each message.
 package logs
 
 import (
@@ -25,44 +24,45 @@
 // Bounds of the buffer. At 200 bytes a line it holds 2,600 lines, several
 // seconds of an owner's decisions.
 const (
-	bufferBytes = 512 << 10
-	keptBytes   = 64 << 10 // in addition, for lines that are kept
-	flushEvery  = 200 * time.Millisecond
-	tellEvery   = time.Second // of what was left out
-	// writeBytes is the longest write. A pipe takes one of up to 4,096 bytes
-	// whole or not at all (PIPE_BUF); of a longer one it may take a part, after
-	// which lines of two writes run into each other.
-	writeBytes = 4096
+	bufferBytes        = 512 << 10
+	extraKeptBytes     = 64 << 10 // additional space for kept messages
+	flushInterval      = 200 * time.Millisecond
+	dropReportInterval = time.Second // interval of the reports of dropped lines
+	// maxWriteBytes is the maximum size of a write of several lines. A pipe accepts a
+	// write of up to 4,096 bytes (PIPE_BUF) completely or not at all. It may accept part
+	// of a longer one, so that a line is cut and joined with the next write.
+	maxWriteBytes = 4096
 )
 
-// DefaultRepeats is how many lines with the same message are written in a
-// second. A cell of 490 workers logs 700 to 1,500 starts a second.
-const DefaultRepeats = 1000
+// DefaultMessageLimit is the default limit of lines per second with the same message. A cell
+// of 490 workers logs 700 to 1,500 starts per second.
+const DefaultMessageLimit = 1000
 
-// Option changes a logger.
+// Option configures a logger.
 type Option func(*options)
 
 type options struct {
-	kept    []string
-	repeats int
+	kept         []string
+	messageLimit int
 }
 
-// WithKept sets the messages whose lines are never left out for others. They
-// have to be rare, and tell what the process is at when it logs most.
+// WithKept sets the messages whose lines are exempt from the limit per message and have
+// reserved buffer space. They must be rare; they are for lines that are needed most when
+// the process logs a lot.
 func WithKept(messages ...string) Option {
 	return func(o *options) { o.kept = messages }
 }
 
-// WithRepeats sets how many lines with the same message are written in a
-// second, DefaultRepeats by default.
-func WithRepeats(n int) Option {
-	return func(o *options) { o.repeats = n }
+// WithMessageLimit sets the limit of lines per second with the same message. The default is
+// DefaultMessageLimit.
+func WithMessageLimit(n int) Option {
+	return func(o *options) { o.messageLimit = n }
 }
 
-// New returns a logger of lines from a level on, and what writes out the last
-// of them.
+// New returns a logger for lines of at least the given level, and a function that stops
+// it after writing the buffered lines.
 func New(out io.Writer, level zapcore.Level, opts ...Option) (*zap.Logger, func()) {
-	o := options{repeats: DefaultRepeats}
+	o := options{messageLimit: DefaultMessageLimit}
 	for _, opt := range opts {
 		opt(&o)
 	}
@@ -71,16 +71,16 @@
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.MillisDurationEncoder
 	encoder := zaplogfmt.NewEncoder(config)
-	ordinary := &lane{LevelEnabler: level, encoder: encoder, writer: w, bound: bufferBytes}
-	kept := &lane{LevelEnabler: level, encoder: encoder, writer: w, bound: bufferBytes + keptBytes}
-	core := &split{
+	ordinary := &bufferCore{LevelEnabler: level, encoder: encoder, writer: w, maxBytes: bufferBytes}
+	kept := &bufferCore{LevelEnabler: level, encoder: encoder, writer: w, maxBytes: bufferBytes + extraKeptBytes}
+	core := &splitCore{
 		LevelEnabler: level,
-		names:        make(map[string]bool),
+		keptMessages: make(map[string]bool),
 		kept:         kept,
-		others:       zapcore.NewSamplerWithOptions(ordinary, time.Second, o.repeats, 0, zapcore.SamplerHook(w.sampled)),
+		others:       zapcore.NewSamplerWithOptions(ordinary, time.Second, o.messageLimit, 0, zapcore.SamplerHook(w.handleSample)),
 	}
 	for _, name := range o.kept {
-		core.names[name] = true
+		core.keptMessages[name] = true
 	}
 	return zap.New(core), w.stop
 }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -17,12 +17,12 @@
 	"github.com/dogwoodladder/dogwoodladder/timeline"
 )
 
-// sink keeps what is written, and holds up writes while it is blocked.
+// sink collects the output. Writes to it block until blocked is closed.
 type sink struct {
 	mu      sync.Mutex
 	data    bytes.Buffer
 	longest int
-	blocked chan struct{} // closed to let writes go on, nil for none
+	blocked chan struct{} // closed to unblock writes, nil to never block
 }
 
 func (s *sink) Write(p []byte) (int, error) {
@@ -51,10 +51,9 @@
 	return n
 }
 
-// Symptom: lines run into each other, as "msg=worker ints=2026-09-28". Sequence:
-// an owner logs tens of kilobytes between two writes. Cause: they went out as one
-// write, of which the pipe took a part.
-func TestWritesAreWholeLinesAndShort(t *testing.T) {
+// Guards against lines cut and joined, such as "msg=worker ints=2026-09-28": a pipe may
+// accept only part of a write of tens of kilobytes.
+func TestWritesAreShortAndWholeLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &sink{}
@@ -70,18 +69,17 @@
 		for _, l := range lines {
 			is.True(strings.HasPrefix(l, "ts="))
 		}
-		is.True(out.longest < 11_000) // the long one, alone
+		is.True(out.longest < 11_000) // the long line is written alone
 	})
 }
 
-// Symptom: the load line is missing for six seconds at a stretch, in just the
-// seconds that matter. Sequence: an owner logs thousands of starts a second, and
-// the log is read slowly. Cause: lines were left out as they came.
-func TestKeptLinesAreKept(t *testing.T) {
+// Guards against kept lines dropped in favour of others: an owner logs thousands of
+// starts per second, its log is read slowly, and the load line is missing for seconds.
+func TestKeptLinesAreNotDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &sink{blocked: make(chan struct{})}
-		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithKept("load"), logs.WithRepeats(100_000))
+		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithKept("load"), logs.WithMessageLimit(100_000))
 		logger = logger.With(zap.String("instance", "e1"))
 		for second := range 5 {
 			for i := range 4000 {
@@ -96,12 +94,12 @@
 		is.Equal(count(lines, "msg=load"), 5)
 		starts := count(lines, "msg=start")
 		is.True(starts < 20_000)
-		is.Equal(starts+leftOut(t, lines, "start"), 20_000)
+		is.Equal(starts+countDropped(t, lines, "start"), 20_000)
 	})
 }
 
-// leftOut sums what the lines say was left out of a kind.
-func leftOut(t *testing.T, lines []string, kind string) int {
+// countDropped sums the reported numbers of dropped lines of a kind.
+func countDropped(t *testing.T, lines []string, kind string) int {
 	t.Helper()
 	sum := 0
 	for _, l := range lines {
@@ -118,11 +116,11 @@
 	return sum
 }
 
-func TestRepeatedLinesGiveWay(t *testing.T) {
+func TestRepeatedLinesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &sink{}
-		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithRepeats(10))
+		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithMessageLimit(10))
 		for range 50 {
 			logger.Info("start")
 		}
@@ -132,7 +130,7 @@
 		lines := out.lines()
 		is.Equal(count(lines, "msg=start"), 10)
 		is.Equal(count(lines, "msg=stop"), 1)
-		is.Equal(leftOut(t, lines, "start"), 40)
+		is.Equal(countDropped(t, lines, "start"), 40)
 		is.Equal(count(lines, "unseen"), 0)
 		logger.Info("start") // another second
 		stop()
--- a/logs/writer.go
+++ b/logs/writer.go
@@ -14,14 +14,14 @@
 	"github.com/dogwoodladder/dogwoodladder/timeline"
 )
 
-// writer passes lines on from a goroutine of its own.
+// writer buffers lines and writes them from its own goroutine.
 type writer struct {
 	out io.Writer
 
 	mu      sync.Mutex
 	buffer  []byte
 	spare   []byte
-	leftOut map[string]int // lines by message, since that was last told
+	dropped map[string]int // dropped lines by message since the last report
 
 	stopping chan struct{}
 	stopped  chan struct{}
@@ -29,85 +29,86 @@
 }
 
 func newWriter(out io.Writer) *writer {
-	w := &writer{out: out, leftOut: make(map[string]int), stopping: make(chan struct{}), stopped: make(chan struct{})}
+	w := &writer{out: out, dropped: make(map[string]int), stopping: make(chan struct{}), stopped: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// add takes a line, or counts it as left out.
-func (w *writer) add(message string, line []byte, bound int) {
+// add appends a line to the buffer, or drops and counts it if the buffer would exceed
+// maxBytes.
+func (w *writer) add(message string, line []byte, maxBytes int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.buffer)+len(line) > bound {
-		w.leftOut[message]++
+	if len(w.buffer)+len(line) > maxBytes {
+		w.dropped[message]++
 		return
 	}
 	w.buffer = append(w.buffer, line...)
 }
 
-// sampled takes note of what the sampler does with a line.
-func (w *writer) sampled(e zapcore.Entry, decision zapcore.SamplingDecision) {
+// handleSample counts a line that the sampler has dropped.
+func (w *writer) handleSample(e zapcore.Entry, decision zapcore.SamplingDecision) {
 	if decision&zapcore.LogDropped == 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leftOut[e.Message]++
+	w.dropped[e.Message]++
 }
 
 func (w *writer) run() {
 	defer close(w.stopped)
-	flushes := time.NewTicker(flushEvery)
+	flushes := time.NewTicker(flushInterval)
 	defer flushes.Stop()
-	tells := time.NewTicker(tellEvery)
-	defer tells.Stop()
+	reports := time.NewTicker(dropReportInterval)
+	defer reports.Stop()
 	for {
 		select {
 		case <-flushes.C:
 			w.flush()
-		case now := <-tells.C:
-			w.tell(now)
+		case now := <-reports.C:
+			w.reportDropped(now)
 		case <-w.stopping:
-			w.tell(time.Now())
+			w.reportDropped(time.Now())
 			w.flush()
 			return
 		}
 	}
 }
 
-// tell adds how many lines were left out, by message.
-func (w *writer) tell(now time.Time) {
+// reportDropped appends a line with the number of dropped lines for each message.
+func (w *writer) reportDropped(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, message := range slices.Sorted(maps.Keys(w.leftOut)) {
+	for _, message := range slices.Sorted(maps.Keys(w.dropped)) {
 		w.buffer = fmt.Appendf(w.buffer, "ts=%s level=warn msg=%q kind=%q count=%d\n",
-			now.UTC().Format(time.RFC3339Nano), timeline.LeftOut, message, w.leftOut[message])
+			now.UTC().Format(time.RFC3339Nano), timeline.LeftOut, message, w.dropped[message])
 	}
-	clear(w.leftOut)
+	clear(w.dropped)
 }
 
 func (w *writer) flush() {
 	w.mu.Lock()
-	full := w.buffer
+	pending := w.buffer
 	w.buffer = w.spare[:0]
 	w.mu.Unlock()
-	for rest := full; len(rest) > 0; {
+	for rest := pending; len(rest) > 0; {
 		n := wholeLines(rest)
-		_, _ = w.out.Write(rest[:n]) // there is nowhere to report a log that can't be written
+		_, _ = w.out.Write(rest[:n]) // errors of the log itself can't be reported anywhere
 		rest = rest[n:]
 	}
 	w.mu.Lock()
-	w.spare = full
+	w.spare = pending
 	w.mu.Unlock()
 }
 
-// wholeLines returns how many of the bytes to write at once: as many whole
-// lines as fit in writeBytes, or one that is longer.
+// wholeLines returns the size of the next write: as many complete lines as fit in
+// maxWriteBytes, or a single longer line.
 func wholeLines(b []byte) int {
-	if len(b) <= writeBytes {
+	if len(b) <= maxWriteBytes {
 		return len(b)
 	}
-	if end := bytes.LastIndexByte(b[:writeBytes], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(b[:maxWriteBytes], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(b, '\n'); end >= 0 {
--- a/setting/parse.go
+++ b/setting/parse.go
@@ -9,39 +9,39 @@
 	"github.com/dogwoodladder/dogwoodladder/document"
 )
 
-// Parse returns the settings in data over the defaults. The error is Problems
-// and names file in every line.
+// Parse parses settings over the defaults. The error is of type Problems and contains
+// the name of the file in every line.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := Default()
-	p := &parse{settings: &s, timing: map[string]document.Node{}, listeners: map[netip.AddrPort]string{}}
-	if err := document.Read(file, data, p.root); err != nil {
+	p := &parser{settings: &s, timingNodes: map[string]document.Node{}, listeners: map[netip.AddrPort]string{}}
+	if err := document.Read(file, data, p.readRoot); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-type parse struct {
-	settings  *Settings
-	timing    map[string]document.Node
-	listeners map[netip.AddrPort]string
+type parser struct {
+	settings    *Settings
+	timingNodes map[string]document.Node
+	listeners   map[netip.AddrPort]string
 }
 
-func (p *parse) root(n document.Node) {
+func (p *parser) readRoot(n document.Node) {
 	s := p.settings
 	n.Map(
 		document.Required("instance", document.Into(&s.Instance, document.Name)),
 		document.Required("zone", document.Into(&s.AvailabilityZone, document.Name)),
-		document.Required("listen", p.listen),
-		document.Required("platform", p.platform),
+		document.Required("listen", p.readListen),
+		document.Required("platform", p.readPlatform),
 		document.Optional("logs", document.Into(&s.Logs, parseLevel)),
-		document.Optional("timing", p.timings),
+		document.Optional("timing", p.readTimings),
 	)
 	if n.Sound() {
-		p.relations()
+		p.checkRelations()
 	}
 }
 
-func (p *parse) listen(n document.Node) {
+func (p *parser) readListen(n document.Node) {
 	s := p.settings
 	n.Map(
 		document.Required("caller", p.listener("caller", &s.Caller)),
@@ -50,7 +50,7 @@
 	)
 }
 
-func (p *parse) listener(name string, target *netip.AddrPort) func(document.Node) {
+func (p *parser) listener(name string, target *netip.AddrPort) func(document.Node) {
 	return func(n document.Node) {
 		document.Into(target, parseAddress)(n)
 		if !target.IsValid() {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (p *parse) platform(n document.Node) {
+func (p *parser) readPlatform(n document.Node) {
 	s := p.settings
 	n.Map(
 		document.Required("log", document.Into(&s.Log, parseAddress)),
@@ -71,27 +71,27 @@
 	)
 }
 
-func (p *parse) timings(n document.Node) {
+func (p *parser) readTimings(n document.Node) {
 	var fields []document.Field
 	for _, t := range timings {
 		read := document.Into(t.field(&p.settings.Timing), document.Duration)
 		fields = append(fields, document.Optional(t.key, func(n document.Node) {
-			p.timing[t.key] = n
+			p.timingNodes[t.key] = n
 			read(n)
 		}))
 	}
 	n.Map(fields...)
 }
 
-// relations reports each relation that doesn't hold at the first of its
-// fields that the file names. The defaults hold all of them, so one is there.
-func (p *parse) relations() {
+// checkRelations reports each violated relation at the first of its fields that the file
+// sets. As the defaults satisfy all relations, the file sets at least one of them.
+func (p *parser) checkRelations() {
 	for _, r := range relations {
 		if r.holds(p.settings.Timing) {
 			continue
 		}
 		for _, key := range r.keys {
-			if n, ok := p.timing[key]; ok {
+			if n, ok := p.timingNodes[key]; ok {
 				n.Report("%s", r.reason)
 				break
 			}
@@ -99,7 +99,7 @@
 	}
 }
 
-// parseAddress parses an IP number with a port.
+// parseAddress parses an IP address with a port.
 func parseAddress(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -1,5 +1,5 @@
-// Package setting reads the settings file of one daemon process: who it is,
-// where it listens, where the platform is, and its timing.
+// Package setting reads the settings file of a daemon process: its identity, its
+// listeners, the addresses of the platform, and its timing.
 //
 // Usage:
 //
@@ -9,8 +9,8 @@
 //	}
 //	listener, err := net.Listen("tcp", s.Caller.String())
 //
-// A file names only what differs from Default. Addresses are IP numbers; a
-// host name is refused. Table describes every setting.
+// A file needs to contain only the settings that differ from Default. Addresses must be
+// IP addresses; host names are rejected. Table describes every setting.
 package setting
 
 import (
@@ -21,11 +21,10 @@
 	"github.com/dogwoodladder/dogwoodladder/document"
 )
 
-// Problems is the error of a refused file: every problem found, sorted by
-// place.
+// Problems is the error for a rejected file: all problems found, sorted by position.
 type Problems = document.Problems
 
-// Settings is what one process is told at its start.
+// Settings are the settings of a process.
 type Settings struct {
 	Instance         string
 	AvailabilityZone string
@@ -37,12 +36,11 @@
 	Log  netip.AddrPort // the platform's log service
 	List netip.AddrPort // the platform's instance list
 
-	Logs   zapcore.Level // least level that is logged
+	Logs   zapcore.Level // minimum level that is logged
 	Timing Timing
 }
 
-// Default returns the settings that a file needn't name. The identity and
-// the addresses have no default.
+// Default returns the default settings. The identity and the addresses have none.
 func Default() Settings {
 	return Settings{Logs: zapcore.InfoLevel, Timing: defaultTiming()}
 }
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestParseBad has one case for each pair of files in testdata/bad: a
-// settings file and the problems it must be refused with.
+// TestParseBad has one case for each pair of files in testdata/bad: a settings file and
+// the problems that must be reported for it.
 func TestParseBad(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.yaml")
 	is.New(t).NoErr(err)
@@ -26,8 +26,8 @@
 			data, err := os.ReadFile(file)
 			is.NoErr(err)
 			s, err := Parse(filepath.Base(file), data)
-			is.True(err != nil) // refused
-			is.Equal(s, nil)    // nothing of it is used
+			is.True(err != nil) // rejected
+			is.Equal(s, nil)    // no partial settings
 			golden := goldie.New(t, goldie.WithFixtureDir("testdata/bad"))
 			golden.Assert(t, name, []byte(err.Error()+"\n"))
 		})
--- a/setting/table.go
+++ b/setting/table.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// row is one line of the table.
+// row is a row of the table.
 type row struct {
-	key, initial, meaning string
+	key, defaultValue, meaning string
 }
 
 const required = "none, required"
@@ -28,7 +28,7 @@
 	var b strings.Builder
 	b.WriteString("| Setting | Default | Meaning |\n|---|---|---|\n")
 	for _, r := range rows() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", r.key, r.initial, r.meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", r.key, r.defaultValue, r.meaning)
 	}
 	return b.String()
 }
@@ -37,7 +37,7 @@
 	list := slices.Clone(addressRows)
 	list = append(list, row{"logs", Default().Logs.String(), "least level that is logged: debug, info, warn or error"})
 	for _, t := range timings {
-		list = append(list, row{"timing." + t.key, t.initial.String(), t.meaning})
+		list = append(list, row{"timing." + t.key, t.defaultValue.String(), t.meaning})
 	}
 	return list
 }
--- a/setting/timing.go
+++ b/setting/timing.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Timing holds every duration that the daemon's behaviour depends on.
+// Timing holds all durations that the daemon's behaviour depends on.
 type Timing struct {
 	Heartbeat time.Duration
 	Suspicion time.Duration
@@ -16,12 +16,12 @@
 	Drain     time.Duration
 }
 
-// timing describes one field of Timing.
+// timing describes a field of Timing.
 type timing struct {
-	key     string
-	initial time.Duration
-	meaning string
-	field   func(*Timing) *time.Duration
+	key          string
+	defaultValue time.Duration
+	meaning      string
+	field        func(*Timing) *time.Duration
 }
 
 var timings = []timing{
@@ -37,8 +37,8 @@
 	{"drain", 30 * time.Second, "how long a graceful shutdown may take", func(t *Timing) *time.Duration { return &t.Drain }},
 }
 
-// relation is what must hold between the durations of a Timing. The first
-// key names the field that is reported.
+// relation is a condition on the durations of a Timing. A violation is reported at the
+// first of the keys that the file sets.
 type relation struct {
 	keys   []string
 	holds  func(Timing) bool
@@ -103,7 +103,7 @@
 func defaultTiming() Timing {
 	var t Timing
 	for _, field := range timings {
-		*field.field(&t) = field.initial
+		*field.field(&t) = field.defaultValue
 	}
 	return t
 }
