--- a/conduit/conduit.go
+++ b/conduit/conduit.go
@@ -1,6 +1,6 @@
-// Package conduit holds the connections to one server and guards what is
-// written to them: a request's bytes leave on one connection only, and not
-// before its permit was checked.
+// Package conduit manages the HTTP connections to one server and guards writes
+// to them: the bytes of a request are written to one connection only, and only
+// after its permit was checked.
 //
 // Usage:
 //
@@ -8,10 +8,10 @@
 //	p := conduit.NewPermit(lease.Until)
 //	resp, err := c.Send(ctx, req, p)
 //	if err != nil && !p.Revoke() {
-//		// no byte of the request left, nor will any
+//		// no byte of the request was or will be sent
 //	}
 //
-// The connections themselves are those of net/http's Transport.
+// Connections are pooled by net/http's Transport.
 package conduit
 
 import (
@@ -26,75 +26,77 @@
 )
 
 const (
-	defaultConnections = 63 // one of a server's 64 is left for probes
-	defaultIdle        = 15 * time.Second
-	defaultHeaderBytes = 64 << 10
-	dialTimeout        = time.Second
-	keepAliveIdle      = 2 * time.Second
-	keepAliveInterval  = time.Second
-	keepAliveCount     = 3
+	defaultMaxConnections = 63 // of 64 to a server, one is reserved for probes
+	defaultIdleTimeout    = 15 * time.Second
+	defaultMaxHeaderBytes = 64 << 10
+	dialTimeout           = time.Second
+	keepAliveIdle         = 2 * time.Second
+	keepAliveInterval     = time.Second
+	keepAliveCount        = 3
 )
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Conduit holds the connections to one server.
+// Conduit manages the connections to one server.
 type Conduit struct {
-	address     string
-	dial        Dial
-	connections int
-	idle        time.Duration
-	headerBytes int64
-	stray       func()
-
-	transport *http.Transport
-	prober    *http.Transport
-	open      atomic.Int64
+	address        string
+	dial           Dial
+	maxConnections int
+	idleTimeout    time.Duration
+	maxHeaderBytes int64
+	onUnsolicited  func()
+
+	transport      *http.Transport
+	probeTransport *http.Transport
+	openCount      atomic.Int64
 }
 
-// Option changes a Conduit.
+// Option configures a Conduit.
 type Option func(*Conduit)
 
-// WithDial replaces the way connections are opened.
+// WithDial sets the function that opens connections.
 func WithDial(d Dial) Option { return func(c *Conduit) { c.dial = d } }
 
-// WithConnections bounds the open connections, the one for probes aside.
-func WithConnections(n int) Option { return func(c *Conduit) { c.connections = n } }
+// WithMaxConnections bounds the open connections, not counting the one for
+// probes.
+func WithMaxConnections(n int) Option { return func(c *Conduit) { c.maxConnections = n } }
 
-// WithIdle bounds how long a connection is kept unused.
-func WithIdle(d time.Duration) Option { return func(c *Conduit) { c.idle = d } }
+// WithIdleTimeout bounds how long an idle connection is kept.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Conduit) { c.idleTimeout = d } }
 
-// WithHeaderBytes bounds the header of an answer.
-func WithHeaderBytes(n int64) Option { return func(c *Conduit) { c.headerBytes = n } }
+// WithMaxHeaderBytes bounds the size of a response header.
+func WithMaxHeaderBytes(n int64) Option { return func(c *Conduit) { c.maxHeaderBytes = n } }
 
-// WithStray sets what is called when bytes come that no request asked for.
-func WithStray(f func()) Option { return func(c *Conduit) { c.stray = f } }
+// WithOnUnsolicited sets a function to call when bytes arrive that belong to no
+// request in flight.
+func WithOnUnsolicited(f func()) Option { return func(c *Conduit) { c.onUnsolicited = f } }
 
-// New returns a Conduit to the server at address. It opens nothing yet.
+// New returns a Conduit to the server at address. Connections are opened on
+// demand.
 func New(address string, opts ...Option) *Conduit {
 	c := &Conduit{
-		address:     address,
-		connections: defaultConnections,
-		idle:        defaultIdle,
-		headerBytes: defaultHeaderBytes,
-		stray:       func() {},
+		address:        address,
+		maxConnections: defaultMaxConnections,
+		idleTimeout:    defaultIdleTimeout,
+		maxHeaderBytes: defaultMaxHeaderBytes,
+		onUnsolicited:  func() {},
 	}
 	c.dial = dialer().DialContext
 	for _, opt := range opts {
 		opt(c)
 	}
-	c.transport = c.newTransport(c.connections, c.dialGuarded)
-	c.prober = c.newTransport(1, c.dial)
-	c.prober.DisableKeepAlives = true
+	c.transport = c.newTransport(c.maxConnections, c.dialGuarded)
+	c.probeTransport = c.newTransport(1, c.dial)
+	c.probeTransport.DisableKeepAlives = true
 	return c
 }
 
-// dialer returns a Dialer with keep-alive probes.
+// dialer returns a Dialer with TCP keep-alive probes.
 //
-// A device between the two ends can lose track of a connection, so that
-// packets vanish without an error. It would show as idle connections that
-// swallow the next request. The probes of the kernel fail such a connection
-// within a few seconds, mostly before a request is put on it.
+// A middlebox can lose the state of an idle connection and then drop its packets
+// without an error, so that the next request on it vanishes. Keep-alive probes
+// fail such a connection within a few seconds, usually before a request uses it.
 func dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
@@ -115,8 +117,8 @@
 		Protocols:              protocols,
 		MaxConnsPerHost:        connections,
 		MaxIdleConnsPerHost:    connections,
-		IdleConnTimeout:        c.idle,
-		MaxResponseHeaderBytes: c.headerBytes,
+		IdleConnTimeout:        c.idleTimeout,
+		MaxResponseHeaderBytes: c.maxHeaderBytes,
 		DisableCompression:     true,
 	}
 }
@@ -126,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.open.Add(1)
+	c.openCount.Add(1)
 	return &conn{Conn: inner, conduit: c}, nil
 }
 
@@ -134,16 +136,16 @@
 func (c *Conduit) Address() string { return c.address }
 
 // Open returns the number of open connections.
-func (c *Conduit) Open() int { return int(c.open.Load()) }
+func (c *Conduit) Open() int { return int(c.openCount.Load()) }
 
-// Send sends req once, under permit p, and returns the answer's header.
+// Send sends req once, under permit p, and returns the response.
 //
-// Transport sends a request again by itself when a reused connection dies:
-// a GET, a bodiless request with an Idempotency-Key of any method, and any
-// request of which it counts no byte as written. It would show as work that
-// ran twice without a retry being counted. Send prevents it twice: the body
-// is never nil and has no GetBody, which rules out each of these cases, and
-// a connection accepts bytes only under a permit that no other used.
+// Transport itself retries when a reused connection dies: a GET, a bodiless
+// request of any method with an Idempotency-Key, and any request of which it
+// counts no byte as written. The work could run twice without a retry being
+// counted. Send prevents this in two ways: the body is never nil and has no
+// GetBody, which excludes each of these cases, and a connection accepts bytes
+// only under a permit that was not used on another connection.
 func (c *Conduit) Send(ctx context.Context, req *http.Request, p *Permit) (*http.Response, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if guarded, ok := info.Conn.(*conn); ok {
@@ -160,8 +162,8 @@
 	return c.transport.RoundTrip(req)
 }
 
-// Probe asks for path on a connection of its own and returns the answer's
-// header; the body is dropped.
+// Probe sends a GET for path on a new connection and returns the response with
+// its body closed.
 func (c *Conduit) Probe(ctx context.Context, path string, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+path, nil)
 	if err != nil {
@@ -170,15 +172,15 @@
 	if header != nil {
 		req.Header = header
 	}
-	resp, err := c.prober.RoundTrip(req)
+	resp, err := c.probeTransport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
 	return resp, resp.Body.Close()
 }
 
-// Renew closes the connections that are idle now, so that later requests
-// open new ones.
-func (c *Conduit) Renew() {
+// CloseIdleConnections closes the connections that are idle now, so that later
+// requests open new ones.
+func (c *Conduit) CloseIdleConnections() {
 	c.transport.CloseIdleConnections()
 }
--- a/conduit/conduit_test.go
+++ b/conduit/conduit_test.go
@@ -16,34 +16,34 @@
 	"github.com/matryer/is"
 )
 
-// dying answers the first request on each connection, runs the second, and
-// closes the connection instead of answering it.
-type dying struct {
+// dyingServer responds to the first request on each connection. It runs the
+// second and closes the connection without a response.
+type dyingServer struct {
 	runs atomic.Int64
 }
 
-type firstKey struct{}
+type usedKey struct{}
 
-func (d *dying) start(t *testing.T) string {
+func (d *dyingServer) start(t *testing.T) string {
 	server := httptest.NewUnstartedServer(d)
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, firstKey{}, new(atomic.Bool))
+		return context.WithValue(ctx, usedKey{}, new(atomic.Bool))
 	}
 	server.Start()
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (d *dying) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *dyingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.runs.Add(1)
-	used := r.Context().Value(firstKey{}).(*atomic.Bool)
+	used := r.Context().Value(usedKey{}).(*atomic.Bool)
 	if !used.Swap(true) {
 		return
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func keyed(t *testing.T, address string) *http.Request {
+func newKeyedRequest(t *testing.T, address string) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -52,13 +52,10 @@
 	return req
 }
 
-// Symptom: a request runs twice, and the client saw one attempt.
-// Sequence: a connection is used and kept; the server runs the next request
-// on it and closes it without an answer; Transport sends the request again.
-// Cause: Transport takes a bodiless request with an Idempotency-Key for
-// replayable, whatever its method.
-//
-// The table shows that the sequence is real, and that either guard stops it.
+// Guards against hidden retries by Transport, which considers a bodiless request
+// with an Idempotency-Key replayable whatever its method: the server runs a
+// request on a reused connection and closes it without a response. The first
+// case shows that Transport retries it, the others that either guard prevents it.
 func TestTransportSendsOnce(t *testing.T) {
 	tests := []struct {
 		name string
@@ -71,7 +68,7 @@
 			send: func(_ *Conduit, req *http.Request) (*http.Response, error) {
 				return http.DefaultTransport.RoundTrip(req)
 			},
-			runs: 3, // for two requests
+			runs: 3, // two requests, the second one retried
 		},
 		{
 			name: "body that can't be replayed and permit",
@@ -97,17 +94,17 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			server := new(dying)
+			server := new(dyingServer)
 			address := server.start(t)
 			c := New(address)
-			defer c.Renew()
-			resp, err := test.send(c, keyed(t, address))
+			defer c.CloseIdleConnections()
+			resp, err := test.send(c, newKeyedRequest(t, address))
 			is.NoErr(err)
 			is.NoErr(resp.Body.Close())
-			resp, err = test.send(c, keyed(t, address))
+			resp, err = test.send(c, newKeyedRequest(t, address))
 			is.Equal(server.runs.Load(), test.runs)
 			if test.err == nil {
-				is.NoErr(err) // sent a second time
+				is.NoErr(err) // answered by the retry
 				is.NoErr(resp.Body.Close())
 				return
 			}
@@ -119,14 +116,14 @@
 
 var errAny = errors.New("any error")
 
-// failing is a connection whose writes accept n bytes and fail.
-type failing struct {
+// failingConn is a connection whose writes accept n bytes and fail.
+type failingConn struct {
 	net.Conn
 	n int
 }
 
-func (f failing) Write([]byte) (int, error) { return f.n, syscall.EPIPE }
-func (f failing) Close() error              { return nil }
+func (f failingConn) Write([]byte) (int, error) { return f.n, syscall.EPIPE }
+func (f failingConn) Close() error              { return nil }
 
 func TestPermit(t *testing.T) {
 	lapsed := time.Now().Add(-time.Second)
@@ -153,8 +150,8 @@
 				is.True(!p.Revoke())
 			}
 			c := New("unused")
-			first := &conn{Conn: failing{n: test.first}, conduit: c}
-			second := &conn{Conn: failing{}, conduit: c}
+			first := &conn{Conn: failingConn{n: test.first}, conduit: c}
+			second := &conn{Conn: failingConn{}, conduit: c}
 			_, err := first.Write([]byte("get"))
 			is.Equal(err, ErrNoPermit)
 			first.permit.Store(p)
--- a/conduit/permit.go
+++ b/conduit/permit.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Errors of a write that was not let through. No byte left.
+// Errors of a rejected write. No byte was sent.
 var (
 	ErrNoPermit = errors.New("conduit: write without a permit")
 	ErrSent     = errors.New("conduit: the request was sent on another connection")
@@ -16,37 +16,38 @@
 	ErrRevoked  = errors.New("conduit: the permit was revoked")
 )
 
-// ErrStray is the error of a connection on which bytes came that no request
-// asked for.
-var ErrStray = errors.New("conduit: an answer without a request")
+// ErrUnsolicited is the error of a connection that received bytes while no
+// request was in flight on it.
+var ErrUnsolicited = errors.New("conduit: an answer without a request")
 
-// Permit lets one request's bytes out, on one connection, while a lease is
-// in force.
+// Permit allows the bytes of one request to be written, to one connection, as
+// long as a lease is in force.
 type Permit struct {
 	until time.Time
 
-	mu      sync.Mutex
-	conn    *conn
-	sent    bool // a byte left, or may be leaving now
-	written int64
-	revoked bool
-	ended   bool
+	mu           sync.Mutex
+	conn         *conn
+	sent         bool // a byte was written, or may be being written now
+	written      int64
+	revoked      bool
+	responseRead bool
 }
 
-// NewPermit returns a permit whose first byte may leave before until; the
-// zero time sets no bound.
+// NewPermit returns a permit whose first byte may be written only before until.
+// The zero time sets no bound.
 func NewPermit(until time.Time) *Permit {
 	return &Permit{until: until}
 }
 
-// Sent reports whether a byte of the request may have left.
+// Sent reports whether a byte of the request may have been sent.
 func (p *Permit) Sent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sent
 }
 
-// Revoke lets no further byte out and reports whether one may have left.
+// Revoke rejects all further writes, and reports whether a byte may have been
+// sent.
 func (p *Permit) Revoke() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,22 +55,22 @@
 	return p.sent
 }
 
-// End notes that the answer was read: whatever else comes on the connection
-// is of no request.
+// End marks the response as read. Any further bytes on the connection belong to
+// no request.
 func (p *Permit) End() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.responseRead = true
 }
 
-func (p *Permit) hasEnded() bool {
+func (p *Permit) isResponseRead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.responseRead
 }
 
-// Retire closes the connection that the request was sent on.
-func (p *Permit) Retire() {
+// CloseConnection closes the connection that the request was sent on.
+func (p *Permit) CloseConnection() {
 	p.mu.Lock()
 	used := p.conn
 	p.mu.Unlock()
@@ -78,8 +79,8 @@
 	}
 }
 
-// begin is called just before bytes are written to c.
-func (p *Permit) begin(c *conn) error {
+// beginWrite checks the permit immediately before bytes are written to c.
+func (p *Permit) beginWrite(c *conn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.revoked {
@@ -91,10 +92,10 @@
 	if p.sent {
 		return ErrSent
 	}
-	// A lease can lapse while the request waits for a connection or the
-	// process is paused. It would show as work on a worker that another
-	// instance owns by then. This is the last step before the bytes leave;
-	// the worker's check of the epoch covers a pause after it.
+	// The lease can lapse while the request waits for a connection or the
+	// process is paused, and another instance may then own the worker. This
+	// check is the last step before the write. If the process is paused after
+	// it, the worker's check of the epoch rejects the request.
 	if !p.until.IsZero() && !time.Now().Before(p.until) {
 		return ErrLapsed
 	}
@@ -103,9 +104,9 @@
 	return nil
 }
 
-// wrote notes that n bytes were accepted. A first write that moved none
-// leaves the request unsent.
-func (p *Permit) wrote(n int) {
+// endWrite records that n bytes were written. The request counts as not sent
+// while no byte was.
+func (p *Permit) endWrite(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.written += int64(n)
@@ -114,8 +115,8 @@
 	}
 }
 
-// conn is a connection that asks the current request's permit before each
-// write, and takes no answer that no request waits for.
+// conn is a connection that checks the current request's permit before each
+// write, and rejects bytes received while no request is in flight.
 type conn struct {
 	net.Conn
 	conduit *Conduit
@@ -128,31 +129,31 @@
 	if p == nil {
 		return 0, ErrNoPermit
 	}
-	if err := p.begin(c); err != nil {
+	if err := p.beginWrite(c); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
-	p.wrote(n)
+	p.endWrite(n)
 	return n, err
 }
 
-// Read fails on bytes that come between two requests: the second copy of an
-// answer would be taken for the answer to the next request.
+// Read fails on bytes that arrive between two requests: a duplicated response
+// would be taken for the response to the next request.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 {
 		return n, err
 	}
-	if p := c.permit.Load(); p == nil || p.hasEnded() {
-		c.conduit.stray()
-		return 0, ErrStray
+	if p := c.permit.Load(); p == nil || p.isResponseRead() {
+		c.conduit.onUnsolicited()
+		return 0, ErrUnsolicited
 	}
 	return n, err
 }
 
 func (c *conn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.conduit.open.Add(-1)
+		c.conduit.openCount.Add(-1)
 	}
 	return c.Conn.Close()
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,56 +14,56 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// discardBytes bounds what is read of an answer that is dropped, so that its
-// connection can be used again.
-const discardBytes = 4 << 10
+// maxDiscardBytes bounds how much of an unused response is read so that its
+// connection can be reused.
+const maxDiscardBytes = 4 << 10
 
-// target is where an attempt goes: a worker or a peer.
+// target is the destination of an attempt: a worker or a peer.
 type target struct {
-	conduit *conduit.Conduit
-	root    string // of the path
-	worker  string
-	epoch   uint64
-	until   time.Time
-	peer    bool // or else a worker
+	conduit    *conduit.Conduit
+	pathPrefix string
+	id         string // worker or peer
+	epoch      uint64 // of a worker's lease
+	leaseUntil time.Time
+	isPeer     bool
 }
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
-	ending
-	done     bool          // an answer was passed, wholly or in part
-	final    bool          // of no use to try again
-	reported bool          // by the worker or peer itself
-	latency  time.Duration // to the first bytes, or to a short answer's last
-	held     time.Duration // as far as the worker took it, not the caller
-	result   balancer.Result
+	callResult
+	relayed          bool          // a response was relayed, at least in part
+	final            bool          // a retry is useless
+	reportedByTarget bool          // the target itself reported the fault
+	latency          time.Duration // to the first bytes, or to the last of a short response
+	workerTime       time.Duration // of a streamed response, without the caller's share
+	result           balancer.Result
 }
 
-// or returns o, or a failure with err when o is of no attempt.
-func (o outcome) or(err *fault.Error) outcome {
+// orFault returns o if it has a fault, else an outcome with err.
+func (o outcome) orFault(err *fault.Error) outcome {
 	if o.err != nil {
 		return o
 	}
-	return outcome{ending: ending{err: err}}
+	return outcome{callResult: callResult{err: err}}
 }
 
-// tellsNothing reports whether the attempt says nothing about how many
-// requests the workers can take.
-func (o outcome) tellsNothing() bool {
+// isNoLoadSample reports whether the attempt carries no information about the
+// load that the workers can take.
+func (o outcome) isNoLoadSample() bool {
 	return o.err != nil && o.result == balancer.Refused && o.err.Kind != fault.Overloaded
 }
 
-func failed(err *fault.Error, result balancer.Result) outcome {
-	return outcome{ending: ending{err: err}, result: result}
+func failedOutcome(err *fault.Error, result balancer.Result) outcome {
+	return outcome{callResult: callResult{err: err}, result: result}
 }
 
-// capacity is what this instance has for a service.
+// capacity is the number of slots that this instance has for a service.
 type capacity struct {
 	slots int
 	free  int
 }
 
-func (g *Gateway) replicas(c *call) capacity {
+func (g *Gateway) serviceCapacity(c *call) capacity {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b, ok := g.balancers[c.service.Name]
@@ -74,18 +74,18 @@
 	return capacity{slots: b.Slots(now), free: b.Free(now)}
 }
 
-// pickWorker takes a slot of an own worker.
+// pickWorker reserves a slot of a worker that this instance owns.
 func (g *Gateway) pickWorker(c *call, skip func(string) bool) (*target, bool) {
 	backend, ok := g.pickBackend(c, skip)
 	if !ok {
 		return nil, false
 	}
 	return &target{
-		conduit: g.conduitTo(backend.Address),
-		root:    "/services/",
-		worker:  backend.Worker,
-		epoch:   backend.Epoch,
-		until:   backend.Until,
+		conduit:    g.conduitTo(backend.Address),
+		pathPrefix: "/services/",
+		id:         backend.Worker,
+		epoch:      backend.Epoch,
+		leaseUntil: backend.Until,
 	}, true
 }
 
@@ -99,61 +99,61 @@
 	return b.Pick(time.Now(), skip)
 }
 
-// done gives the slot of the target back.
-func (g *Gateway) done(c *call, t *target, o outcome) {
+// recordOutcome releases the slot of the target and records the outcome.
+func (g *Gateway) recordOutcome(c *call, t *target, o outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t.peer {
-		g.peerDone(c, t, o)
+	if t.isPeer {
+		g.recordPeerOutcome(c, t, o)
 		return
 	}
 	if b, ok := g.balancers[c.service.Name]; ok {
-		b.Done(time.Now(), t.worker, o.latency, o.result)
+		b.Done(time.Now(), t.id, o.latency, o.result)
 	}
-	g.latencyOf(c.service.Name).add(t.worker, o)
+	g.latencyOf(c.service.Name).record(t.id, o)
 }
 
-// try sends the call to t once and passes the answer.
+// try sends the call to t once, relays the response and records the outcome.
 func (g *Gateway) try(c *call, t *target) outcome {
-	o := g.attempt(c, t)
+	o := g.sendOnce(c, t)
 	if o.result == balancer.Refused {
-		c.refused = append(c.refused, t.worker)
+		c.refusedBy = append(c.refusedBy, t.id)
 	}
-	g.done(c, t, o)
+	g.recordOutcome(c, t, o)
 	if o.err != nil && o.err.Answer().Ran != fault.NotRun {
-		c.mayRun = true
+		c.mayHaveRun = true
 	}
 	return o
 }
 
-func (g *Gateway) attempt(c *call, t *target) outcome {
+func (g *Gateway) sendOnce(c *call, t *target) outcome {
 	c.attempts++
-	c.tried = append(c.tried, t.worker)
+	c.triedIDs = append(c.triedIDs, t.id)
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	permit := conduit.NewPermit(t.until)
+	permit := conduit.NewPermit(t.leaseUntil)
 	defer permit.End()
-	w := g.watch(c, t, permit, ctx, cancel)
+	w := g.startWatchdog(c, t, permit, ctx, cancel)
 	defer w.stop()
 	sent := time.Now()
-	resp, err := t.conduit.Send(ctx, g.request(c, t, w), permit)
+	resp, err := t.conduit.Send(ctx, g.newRequest(c, t, w), permit)
 	if err != nil {
-		o := g.sendFailed(c, err, permit.Revoke(), w)
+		o := g.sendFailedOutcome(c, err, permit.Revoke(), w)
 		o.latency = time.Since(sent)
 		return o
 	}
 	defer resp.Body.Close()
-	w.pause()
-	w.begun.Store(true)
-	o := g.receive(c, t, resp, permit, w)
+	w.endWait()
+	w.headerReceived.Store(true)
+	o := g.handleResponse(c, t, resp, permit, w)
 	if o.latency == 0 {
 		o.latency = time.Since(sent)
 	}
 	return o
 }
 
-// request builds the request for t.
-func (g *Gateway) request(c *call, t *target, w *watch) *http.Request {
+// newRequest builds the request for t.
+func (g *Gateway) newRequest(c *call, t *target, w *watchdog) *http.Request {
 	header := make(http.Header, len(c.r.Header)+4)
 	copyHeader(header, c.r.Header)
 	if _, ok := header["User-Agent"]; !ok {
@@ -161,12 +161,12 @@
 	}
 	header[HeaderRequest] = []string{c.id}
 	header[HeaderDeadline] = []string{formatMillis(time.Until(c.deadline))}
-	if t.peer {
+	if t.isPeer {
 		header[HeaderHops] = []string{"1"}
 	} else {
 		header[HeaderEpoch] = []string{strconv.FormatUint(t.epoch, 10)}
 	}
-	path := t.root + c.path
+	path := t.pathPrefix + c.path
 	target := &url.URL{Scheme: "http", Host: t.conduit.Address(), RawQuery: c.r.URL.RawQuery}
 	target.Path, target.RawPath = path, path
 	if unescaped, err := url.PathUnescape(path); err == nil {
@@ -176,106 +176,107 @@
 		Method:        c.r.Method,
 		URL:           target,
 		Header:        header,
-		Body:          c.body.open(w),
+		Body:          c.body.newReader(w),
 		ContentLength: c.body.length,
 	}
 }
 
-// sendFailed judges an attempt without an answer.
-func (g *Gateway) sendFailed(c *call, err error, sent bool, w *watch) outcome {
+// sendFailedOutcome returns the outcome of an attempt without a response.
+func (g *Gateway) sendFailedOutcome(c *call, err error, sent bool, w *watchdog) outcome {
 	if !sent {
-		return g.unsentOutcome(c, err)
+		return g.notSentOutcome(c, err)
 	}
 	switch {
-	case c.expired():
+	case c.isExpired():
 		return outcome{
-			ending: ending{err: fault.New(fault.TimedOut, "no answer by the deadline")},
-			final:  true,
-			result: balancer.Lost,
+			callResult: callResult{err: fault.New(fault.TimedOut, "no answer by the deadline")},
+			final:      true,
+			result:     balancer.Lost,
 		}
 	case c.ctx.Err() != nil:
-		return g.goneOutcome()
-	case c.body.tooLarge():
+		return g.callerGoneOutcome()
+	case c.body.isTooLarge():
 		return outcome{
-			ending: ending{err: fault.New(fault.MayHaveRun, "body above %d bytes", g.bodyBytes)},
-			final:  true,
-			result: balancer.OK,
+			callResult: callResult{err: fault.New(fault.MayHaveRun, "body above %d bytes", g.maxBodyBytes)},
+			final:      true,
+			result:     balancer.OK,
 		}
-	case c.body.err() != nil:
-		return g.goneOutcome()
-	case w.silent():
-		return failed(fault.New(fault.Broken, "the connection went silent"), balancer.Lost)
+	case c.body.readError() != nil:
+		return g.callerGoneOutcome()
+	case w.hasAborted():
+		return failedOutcome(fault.New(fault.Broken, "the connection went silent"), balancer.Lost)
 	}
-	return failed(fault.Wrap(fault.Broken, err, "the connection failed"), balancer.Lost)
+	return failedOutcome(fault.Wrap(fault.Broken, err, "the connection failed"), balancer.Lost)
 }
 
-// unsentOutcome judges an attempt of which no byte left.
-func (g *Gateway) unsentOutcome(c *call, err error) outcome {
+// notSentOutcome returns the outcome of an attempt of which no byte was sent.
+func (g *Gateway) notSentOutcome(c *call, err error) outcome {
 	if c.ctx.Err() != nil {
-		return outcome{ending: ending{err: c.unsent()}, final: true, result: balancer.Refused}
+		return outcome{callResult: callResult{err: c.notSentFault()}, final: true, result: balancer.Refused}
 	}
 	if isLapsed(err) {
-		g.counts.lapsed.Add(1)
-		return failed(fault.New(fault.StaleEpoch, "the lease lapsed"), balancer.Refused)
+		g.counters.lapsed.Add(1)
+		return failedOutcome(fault.New(fault.StaleEpoch, "the lease lapsed"), balancer.Refused)
 	}
-	return failed(fault.Wrap(fault.NoWorker, err, "can't connect"), balancer.Refused)
+	return failedOutcome(fault.Wrap(fault.NoWorker, err, "can't connect"), balancer.Refused)
 }
 
-// goneOutcome is that of a call whose caller went away after it was sent.
-// It says nothing against the worker.
-func (g *Gateway) goneOutcome() outcome {
+// callerGoneOutcome returns the outcome of an attempt whose caller disconnected
+// after it was sent. It isn't counted against the worker.
+func (g *Gateway) callerGoneOutcome() outcome {
 	return outcome{
-		ending: ending{err: fault.New(fault.MayHaveRun, "the caller went away")},
-		final:  true,
+		callResult: callResult{err: fault.New(fault.MayHaveRun, "the caller went away")},
+		final:      true,
 	}
 }
 
-// receive judges an answer's header and passes the answer on.
-func (g *Gateway) receive(c *call, t *target, resp *http.Response, permit *conduit.Permit, w *watch) outcome {
-	// An answer can be that of another request: a late or doubled one on a
-	// connection that was used again. It would show as a caller with someone
-	// else's price. The echo binds it by more than its place in the order;
-	// the connection has lost step and is closed.
+// handleResponse checks a response's header and relays the response.
+func (g *Gateway) handleResponse(c *call, t *target, resp *http.Response, permit *conduit.Permit, w *watchdog) outcome {
+	// A late or duplicated response on a reused connection belongs to another
+	// request, and would give a caller someone else's data. The echoed request
+	// id reveals it. The connection is out of step and is closed.
 	if resp.Header.Get(HeaderRequest) != c.id {
-		permit.Retire()
-		g.counts.dropped.Add(1)
-		g.logger.Warn("answer dropped", logCall(c, t)...)
-		return failed(fault.New(fault.Broken, "the answer was for another request"), balancer.Lost)
+		permit.CloseConnection()
+		g.counters.dropped.Add(1)
+		g.logger.Warn("answer dropped", callFields(c, t)...)
+		return failedOutcome(fault.New(fault.Broken, "the answer was for another request"), balancer.Lost)
 	}
-	if t.peer {
-		g.hearPeer(c, t, resp.Header)
+	if t.isPeer {
+		g.recordPeerFree(c, t, resp.Header)
 	}
 	if err := readRefusal(resp); err != nil {
-		_, _ = io.CopyN(io.Discard, resp.Body, discardBytes)
-		return g.refused(t, resp, err)
+		_, _ = io.CopyN(io.Discard, resp.Body, maxDiscardBytes)
+		return g.refusedOutcome(t, resp, err)
 	}
 	if !isFramed(resp) {
-		permit.Retire()
-		g.counts.truncated.Add(1)
-		return failed(fault.New(fault.Truncated, "the answer has no marked end"), balancer.Lost)
+		permit.CloseConnection()
+		g.counters.truncated.Add(1)
+		return failedOutcome(fault.New(fault.Truncated, "the answer has no marked end"), balancer.Lost)
 	}
-	return g.pass(c, t, resp, w)
+	return g.relay(c, t, resp, w)
 }
 
-// refused judges a refusal by a worker or a peer.
-func (g *Gateway) refused(t *target, resp *http.Response, err *fault.Error) outcome {
-	if err.Answer().Ran == fault.NotRun && t.peer && resp.Header.Get(HeaderRan) != ranNames[fault.NotRun] {
+// refusedOutcome returns the outcome of a refusal by a worker or a peer. A peer
+// must state explicitly that the request did not run.
+func (g *Gateway) refusedOutcome(t *target, resp *http.Response, err *fault.Error) outcome {
+	if err.Answer().Ran == fault.NotRun && t.isPeer && resp.Header.Get(HeaderRan) != ranNames[fault.NotRun] {
 		err = fault.Wrap(fault.MayHaveRun, err, "the peer doesn't know")
 	}
-	if !t.peer && err.Kind == fault.NotFound {
+	if !t.isPeer && err.Kind == fault.NotFound {
 		err = fault.Wrap(fault.NoWorker, err, "the replica is gone")
 	}
-	o := failed(err, balancer.Refused)
-	o.reported = true
+	o := failedOutcome(err, balancer.Refused)
+	o.reportedByTarget = true
 	if err.Answer().Ran != fault.NotRun {
 		o.result = balancer.Lost
 	}
-	o.final = isFinal(err.Kind)
+	o.final = isFinalKind(err.Kind)
 	return o
 }
 
-// isFinal reports whether any other worker would say the same.
-func isFinal(k fault.Kind) bool {
+// isFinalKind reports whether every other worker would refuse with the same
+// kind.
+func isFinalKind(k fault.Kind) bool {
 	switch k {
 	case fault.Invalid, fault.TooLarge, fault.Conflict, fault.Duplicate, fault.DeadlinePassed:
 		return true
@@ -283,8 +284,8 @@
 	return false
 }
 
-// isFramed reports whether the end of the answer can be told from a
-// connection that was cut.
+// isFramed reports whether the end of the response can be distinguished from a
+// broken connection.
 func isFramed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || resp.Body == http.NoBody
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -27,7 +27,8 @@
 	io.WriteString(rw, "gold")
 }
 
-// benchTable has ten replicas with room for all requests of a benchmark.
+// benchTable returns a table of ten replicas with enough slots for all requests
+// of a benchmark.
 func benchTable(address string) *route.Table {
 	table := tableOf("e1", slices.Repeat([]string{address}, 10)...)
 	for i := range table.Backends["price"] {
@@ -41,7 +42,8 @@
 	return table
 }
 
-// BenchmarkDirect and BenchmarkGateway differ by what the gateway adds.
+// BenchmarkDirect sends to the worker without a gateway, as the baseline of
+// BenchmarkGateway.
 func BenchmarkDirect(b *testing.B) {
 	address := listen(b, &http.Server{Handler: http.HandlerFunc(echo)})
 	benchmark(b, "http://"+address+"/services/price/load")
@@ -61,15 +63,15 @@
 	client := &http.Client{Transport: transport}
 	b.Run("latency", func(b *testing.B) {
 		b.ReportAllocs()
-		var took []time.Duration
+		var latencies []time.Duration
 		for b.Loop() {
 			began := time.Now()
 			get(b, client, url)
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
-		slices.Sort(took)
-		b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
-		b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
+		slices.Sort(latencies)
+		b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-µs")
+		b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-µs")
 	})
 	b.Run("parallel", func(b *testing.B) {
 		b.ReportAllocs()
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -11,97 +11,99 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// body is a request's body: kept when small, else streamed.
+// body is a request's body: buffered when small, else streamed.
 type body struct {
-	kept   []byte
-	stream io.ReadCloser // nil when kept
-	length int64         // -1 when unknown
-	read   atomic.Bool   // the stream was read from
-	failed atomic.Pointer[error]
+	buffered    []byte
+	stream      io.ReadCloser // nil when buffered
+	length      int64         // -1 when unknown
+	readStarted atomic.Bool   // a read from stream has started
+	readFailure atomic.Pointer[error]
 }
 
-// readBody keeps the body of c when it is small. It returns once the caller
-// has sent all of it, so that a slow caller holds no slot meanwhile.
+// readBody buffers the body of c when it is small. It returns once the caller
+// has sent all of it, so that a slow caller holds no slot in the meantime.
 func (g *Gateway) readBody(c *call) *fault.Error {
 	length := c.r.ContentLength
 	c.body = &body{length: length}
 	if length == 0 {
 		return nil
 	}
-	limited := http.MaxBytesReader(c.w, c.r.Body, g.bodyBytes)
-	if length < 0 || length > g.replayBytes || !g.reserve(length) {
+	limited := http.MaxBytesReader(c.w, c.r.Body, g.maxBodyBytes)
+	if length < 0 || length > g.maxReplayBytes || !g.reserveBuffer(length) {
 		c.body.stream = limited
 		return nil
 	}
 	control := http.NewResponseController(c.w)
 	_ = control.SetReadDeadline(c.deadline)
-	c.body.kept = make([]byte, length)
-	if _, err := io.ReadFull(limited, c.body.kept); err != nil {
-		return c.unsent()
+	c.body.buffered = make([]byte, length)
+	if _, err := io.ReadFull(limited, c.body.buffered); err != nil {
+		return c.notSentFault()
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return nil
 }
 
-// reserve takes n bytes of the memory for kept bodies.
-func (g *Gateway) reserve(n int64) bool {
-	if g.kept.Add(n) <= g.bufferBytes {
+// reserveBuffer reserves n bytes of the memory for buffered bodies.
+func (g *Gateway) reserveBuffer(n int64) bool {
+	if g.bufferedBytes.Add(n) <= g.maxBufferedBytes {
 		return true
 	}
-	g.kept.Add(-n)
+	g.bufferedBytes.Add(-n)
 	return false
 }
 
-// release gives the memory of the body back.
-func (g *Gateway) release(b *body) {
-	if b != nil && b.kept != nil {
-		g.kept.Add(-int64(len(b.kept)))
+// releaseBody returns the memory of the body.
+func (g *Gateway) releaseBody(b *body) {
+	if b != nil && b.buffered != nil {
+		g.bufferedBytes.Add(-int64(len(b.buffered)))
 	}
 }
 
-// replayable reports whether the body can be sent from its start.
-func (b *body) replayable() bool {
-	return b.stream == nil || !b.read.Load()
+// isReplayable reports whether the body can be sent from its start.
+func (b *body) isReplayable() bool {
+	return b.stream == nil || !b.readStarted.Load()
 }
 
-// open returns the body for one attempt, nil when it has no bytes.
-func (b *body) open(w *watch) io.ReadCloser {
+// newReader returns a reader of the body for one attempt, nil when the body is
+// empty.
+func (b *body) newReader(w *watchdog) io.ReadCloser {
 	if b.stream != nil {
 		return &upload{body: b, watch: w}
 	}
-	if len(b.kept) == 0 {
+	if len(b.buffered) == 0 {
 		return nil
 	}
-	return io.NopCloser(bytes.NewReader(b.kept))
+	return io.NopCloser(bytes.NewReader(b.buffered))
 }
 
-// err returns the fault in reading the body from the caller.
-func (b *body) err() error {
-	if err := b.failed.Load(); err != nil {
+// readError returns the error of reading the body from the caller.
+func (b *body) readError() error {
+	if err := b.readFailure.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// tooLarge reports whether the body broke the bound while it was streamed.
-func (b *body) tooLarge() bool {
+// isTooLarge reports whether the body exceeded the size bound while streaming.
+func (b *body) isTooLarge() bool {
 	var limit *http.MaxBytesError
-	return errors.As(b.err(), &limit)
+	return errors.As(b.readError(), &limit)
 }
 
-// upload is a streamed body on its way to a worker.
+// upload reads a streamed body for an attempt. The watchdog is paused while the
+// caller, rather than the worker, is waited for.
 type upload struct {
 	body  *body
-	watch *watch
+	watch *watchdog
 }
 
 func (u *upload) Read(p []byte) (int, error) {
-	u.body.read.Store(true)
-	u.watch.pause()
+	u.body.readStarted.Store(true)
+	u.watch.endWait()
 	n, err := u.body.stream.Read(p)
-	u.watch.wait()
+	u.watch.startWait()
 	if err != nil && err != io.EOF {
-		u.body.failed.Store(&err)
+		u.body.readFailure.Store(&err)
 	}
 	return n, err
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -12,8 +12,9 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// idBytes is the length of the part of a request id that names the process.
-const idBytes = 12
+// idPrefixBytes is the length of the random prefix that makes the request ids
+// of this process unique.
+const idPrefixBytes = 12
 
 // call is one request in flight.
 type call struct {
@@ -22,23 +23,23 @@
 	table      *route.Table
 	w          http.ResponseWriter
 	r          *http.Request
-	path       string // from the service's name on, escaped
+	path       string // escaped, starting with the service name
 	ctx        context.Context
 	cancel     context.CancelFunc
-	started    time.Time
+	startedAt  time.Time
 	deadline   time.Time
 	hops       int
 	idempotent bool
 	body       *body
-	key        *claim // nil when no key was claimed
+	keyClaim   *claim // nil when no key was claimed
 
-	attempts int
-	tried    []string // workers and peers that need not be asked again
-	refused  []string // those that refused it, or to which nothing could be sent
-	mayRun   bool     // an earlier attempt may have run
+	attempts   int
+	triedIDs   []string // workers and peers that were tried
+	refusedBy  []string // of these, the ones that refused or got no byte
+	mayHaveRun bool     // an earlier attempt may have run
 }
 
-// newCall reads what routing needs of r, or says why it is refused.
+// newCall validates r and returns its call, or the fault to refuse it with.
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request, name string, hops int) (*call, *fault.Error) {
 	table := g.table.Load()
 	if table == nil {
@@ -48,8 +49,8 @@
 	if !ok {
 		return nil, fault.New(fault.NotFound, "no service %q", name)
 	}
-	if r.ContentLength > g.bodyBytes {
-		return nil, fault.New(fault.TooLarge, "body above %d bytes", g.bodyBytes)
+	if r.ContentLength > g.maxBodyBytes {
+		return nil, fault.New(fault.TooLarge, "body above %d bytes", g.maxBodyBytes)
 	}
 	if len(r.Header.Get(HeaderKey)) > maxKeyBytes {
 		return nil, fault.New(fault.TooLarge, "%s above %d bytes", HeaderKey, maxKeyBytes)
@@ -64,24 +65,24 @@
 		table:      table,
 		w:          w,
 		r:          r,
-		path:       strings.TrimPrefix(r.URL.EscapedPath()[1:], rootOf(hops)),
-		started:    now,
+		path:       strings.TrimPrefix(r.URL.EscapedPath()[1:], pathPrefixOf(hops)),
+		startedAt:  now,
 		deadline:   now.Add(timeout),
 		hops:       hops,
 		idempotent: service.Idempotent || isIdempotent(r.Method),
 	}
 	c.service.Name = name
-	return c, g.identify(c)
+	return c, g.assignID(c)
 }
 
-func rootOf(hops int) string {
+func pathPrefixOf(hops int) string {
 	if hops > 0 {
 		return "forward/"
 	}
 	return "services/"
 }
 
-// timeout returns the time that r has left.
+// timeout returns the time left until the deadline of r.
 func (g *Gateway) timeout(r *http.Request, service route.Service) (time.Duration, *fault.Error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
@@ -100,11 +101,11 @@
 	return left, nil
 }
 
-// identify gives the call its id. A forwarded request keeps the id that the
-// first entry instance gave it, and may not be forwarded again.
-func (g *Gateway) identify(c *call) *fault.Error {
+// assignID sets the id of the call. A forwarded request keeps the id assigned
+// by the first entry instance, and must not be forwarded again.
+func (g *Gateway) assignID(c *call) *fault.Error {
 	if c.hops == 0 {
-		c.id = g.prefix + strconv.FormatUint(g.counter.Add(1), 36)
+		c.id = g.idPrefix + strconv.FormatUint(g.idCounter.Add(1), 36)
 		return nil
 	}
 	c.id = c.r.Header.Get(HeaderRequest)
@@ -117,28 +118,29 @@
 	return nil
 }
 
-// unsent says why a request that wasn't sent is given up: its deadline
-// passed or its caller went away.
-func (c *call) unsent() *fault.Error {
+// notSentFault is the fault of a request that was not sent because its deadline
+// passed or its caller disconnected.
+func (c *call) notSentFault() *fault.Error {
 	return fault.New(fault.DeadlinePassed, "the deadline passed before the request was sent")
 }
 
-// expired reports whether the deadline passed.
-func (c *call) expired() bool {
+// isExpired reports whether the deadline passed.
+func (c *call) isExpired() bool {
 	return !time.Now().Before(c.deadline)
 }
 
-// gone reports whether the caller went away.
-func (c *call) gone() bool {
-	return c.r.Context().Err() != nil && !c.expired()
+// isCallerGone reports whether the caller disconnected before the deadline.
+func (c *call) isCallerGone() bool {
+	return c.r.Context().Err() != nil && !c.isExpired()
 }
 
-// skip reports whether the worker or peer was tried.
-func (c *call) skip(id string) bool {
-	return slices.Contains(c.tried, id)
+// wasTried reports whether the worker or peer was tried.
+func (c *call) wasTried(id string) bool {
+	return slices.Contains(c.triedIDs, id)
 }
 
-// hasRefused reports whether the worker refused the call.
-func (c *call) hasRefused(id string) bool {
-	return slices.Contains(c.refused, id)
+// wasRefusedBy reports whether the worker refused the call or could not be
+// reached.
+func (c *call) wasRefusedBy(id string) bool {
+	return slices.Contains(c.refusedBy, id)
 }
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	claimRoot    = "/claim/"
-	claimPattern = claimRoot + ":hash"
-	keyHomes     = 2
-	claimTime    = time.Second            // for a home to answer
-	releaseTime  = 250 * time.Millisecond // for a home to forget
-	hashBase     = 36
+	claimPathPrefix = "/claim/"
+	claimPattern    = claimPathPrefix + ":hash"
+	homesPerKey     = 2
+	claimTimeout    = time.Second            // for the claims at all homes
+	releaseTimeout  = 250 * time.Millisecond // for the releases at all homes
+	hashBase        = 36
 )
 
 // claim is an idempotency key that a call holds at its homes.
@@ -33,28 +33,28 @@
 	homes []home
 }
 
-// home is an entry instance that remembers a key.
+// home is an entry instance that stores a key.
 type home struct {
 	id      string
 	address string // empty for this instance
 }
 
-// claim claims the key of c before its first attempt.
+// claimKey claims the key of c before its first attempt.
 //
-// A caller whose answer was lost repeats its request, and the platform's
-// balancer may take the repeat to another entry instance. It would show as a
-// lorry that is paid twice. Both instances ask the same homes first, which
-// grant a key once.
-func (g *Gateway) claim(c *call) *fault.Error {
+// A caller whose response was lost repeats its request, and the platform's
+// load balancer may route the repeat to another entry instance, where it would
+// run a second time. Both instances claim the key at the same homes, which
+// grant it only once.
+func (g *Gateway) claimKey(c *call) *fault.Error {
 	key := c.r.Header.Get(HeaderKey)
-	if key == "" || c.idempotent || c.hops > 0 || c.key != nil {
+	if key == "" || c.idempotent || c.hops > 0 || c.keyClaim != nil {
 		return nil
 	}
 	hash := xxhash.Sum64String(c.service.Name + "\x00" + key)
-	c.key = &claim{hash: hash, homes: homesOf(c.table, hash)}
-	err := g.claimAll(c)
+	c.keyClaim = &claim{hash: hash, homes: homesOf(c.table, hash)}
+	err := g.claimAtHomes(c)
 	if err != nil {
-		g.unclaim(c)
+		g.releaseKey(c)
 	}
 	return err
 }
@@ -75,31 +75,32 @@
 		members = append(members, t.Instance)
 	}
 	order := rendezvous.Order(strconv.FormatUint(hash, hashBase), members)
-	homes := make([]home, 0, keyHomes)
-	for _, id := range order[:min(keyHomes, len(order))] {
+	homes := make([]home, 0, homesPerKey)
+	for _, id := range order[:min(homesPerKey, len(order))] {
 		homes = append(homes, home{id: id, address: addresses[id]})
 	}
 	return homes
 }
 
-// claimAll claims at one home after the other. The order is the same
-// everywhere, so of two requests with one key the first home lets one go on.
-func (g *Gateway) claimAll(c *call) *fault.Error {
-	ctx, cancel := context.WithTimeout(c.ctx, claimTime)
+// claimAtHomes claims the key at one home after the other. All instances use
+// the same order, so the first home grants only one of two concurrent requests
+// with the same key.
+func (g *Gateway) claimAtHomes(c *call) *fault.Error {
+	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
-	for _, h := range c.key.homes {
-		if err := g.claimAt(ctx, c, h); err != nil {
+	for _, h := range c.keyClaim.homes {
+		if err := g.claimAtHome(ctx, c, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (g *Gateway) claimAt(ctx context.Context, c *call, h home) *fault.Error {
+func (g *Gateway) claimAtHome(ctx context.Context, c *call, h home) *fault.Error {
 	if h.address == "" {
-		return grantFault(g.keys.claim(time.Now(), c.key.hash, c.id))
+		return claimFault(g.keys.claim(time.Now(), c.keyClaim.hash, c.id))
 	}
-	resp, err := g.askHome(ctx, http.MethodPost, c.key.hash, c.id, h)
+	resp, err := g.callHome(ctx, http.MethodPost, c.keyClaim.hash, c.id, h)
 	if err != nil {
 		return fault.Wrap(fault.Unavailable, err, "a home of the key can't be reached").After(time.Second)
 	}
@@ -112,13 +113,13 @@
 	return nil
 }
 
-// askHome asks a home to remember or to forget a key for a request, and
-// returns the answer without its body.
-func (g *Gateway) askHome(ctx context.Context, method string, hash uint64, id string, h home) (*http.Response, error) {
+// callHome sends the claim (POST) or release (DELETE) of a key to a home, and
+// returns the response with its body closed.
+func (g *Gateway) callHome(ctx context.Context, method string, hash uint64, id string, h home) (*http.Response, error) {
 	target := &url.URL{
 		Scheme: "http",
 		Host:   h.address,
-		Path:   claimRoot + strconv.FormatUint(hash, hashBase),
+		Path:   claimPathPrefix + strconv.FormatUint(hash, hashBase),
 	}
 	req := &http.Request{Method: method, URL: target, Header: http.Header{HeaderRequest: {id}}}
 	permit := conduit.NewPermit(time.Time{})
@@ -127,77 +128,77 @@
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.CopyN(io.Discard, resp.Body, discardBytes)
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscardBytes)
 	return resp, resp.Body.Close()
 }
 
-// unclaim makes the homes forget the key, so that a repeat may run. Where a
-// home can't be reached, the repeat is answered with Duplicate there.
-func (g *Gateway) unclaim(c *call) {
-	if c.key == nil {
+// releaseKey releases the key at its homes, so that a repeat may run. A home
+// that can't be reached refuses the repeat with Duplicate.
+func (g *Gateway) releaseKey(c *call) {
+	if c.keyClaim == nil {
 		return
 	}
-	key := *c.key
-	c.key = nil
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), releaseTime)
+	key := *c.keyClaim
+	c.keyClaim = nil
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), releaseTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, h := range g.holders(key) {
-		asked.Go(func() { g.releaseAt(ctx, key.hash, c.id, h) })
+		calls.Go(func() { g.releaseAtHome(ctx, key.hash, c.id, h) })
 	}
-	asked.Wait()
+	calls.Wait()
 }
 
 // holders returns the homes where a key was claimed, and those that it may
-// have been passed on to since.
+// have been transferred to since.
 func (g *Gateway) holders(key claim) []home {
 	holders := key.homes
 	for _, h := range homesOf(g.table.Load(), key.hash) {
-		if !isHome(holders, h.id) {
+		if !containsHome(holders, h.id) {
 			holders = append(holders, h)
 		}
 	}
 	return holders
 }
 
-func isHome(homes []home, id string) bool {
+func containsHome(homes []home, id string) bool {
 	return slices.ContainsFunc(homes, func(h home) bool { return h.id == id })
 }
 
-func (g *Gateway) releaseAt(ctx context.Context, hash uint64, id string, h home) {
+func (g *Gateway) releaseAtHome(ctx context.Context, hash uint64, id string, h home) {
 	if h.address == "" {
 		g.keys.release(hash, id)
 		return
 	}
-	_, _ = g.askHome(ctx, http.MethodDelete, hash, id, h)
+	_, _ = g.callHome(ctx, http.MethodDelete, hash, id, h)
 }
 
-// grantFault returns the fault of a claim that wasn't granted.
-func grantFault(answer grant) *fault.Error {
-	switch answer {
+// claimFault returns the fault of a claim that wasn't granted, else nil.
+func claimFault(result claimResult) *fault.Error {
+	switch result {
 	case duplicate:
 		return fault.New(fault.Duplicate, "the %s was seen before", HeaderKey)
-	case crowded:
+	case storeFull:
 		return fault.New(fault.Overloaded, "too many keys are remembered")
 	}
 	return nil
 }
 
-// serveClaim remembers a key for another entry instance.
-func (g *Gateway) serveClaim(w http.ResponseWriter, r *http.Request) {
+// handleClaim claims a key for a request of another entry instance.
+func (g *Gateway) handleClaim(w http.ResponseWriter, r *http.Request) {
 	hash, owner, ok := g.readClaim(w, r)
 	if !ok {
 		return
 	}
-	if err := grantFault(g.keys.claim(time.Now(), hash, owner)); err != nil {
+	if err := claimFault(g.keys.claim(time.Now(), hash, owner)); err != nil {
 		g.refuse(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveRelease forgets a key for another entry instance.
-func (g *Gateway) serveRelease(w http.ResponseWriter, r *http.Request) {
+// handleRelease releases a key for a request of another entry instance.
+func (g *Gateway) handleRelease(w http.ResponseWriter, r *http.Request) {
 	hash, owner, ok := g.readClaim(w, r)
 	if !ok {
 		return
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -7,12 +7,13 @@
 )
 
 // Drain refuses new requests with Leaving, waits for those in flight,
-// forwarded ones included, and passes the idempotency keys on. It fails with
-// TimedOut when ctx ends first.
+// including forwarded ones, and transfers the idempotency keys to other
+// instances. It fails with TimedOut when ctx ends first.
 //
 // Callers may be about to send on idle keep-alive connections. Keep the
-// listeners open while Drain runs, and a little longer: each such request is
-// then refused as not run, with Connection: close, rather than cut off.
+// listeners open while Drain runs, and a little longer: such a request is then
+// refused as not run, with Connection: close, instead of seeing its connection
+// break.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.mu.Lock()
 	if !g.draining {
@@ -25,8 +26,8 @@
 	g.mu.Unlock()
 	select {
 	case <-g.drained:
-		g.handOver(ctx)
-		g.closeIdle()
+		g.handOverKeys(ctx)
+		g.closeIdleConnections()
 		return nil
 	case <-ctx.Done():
 	}
@@ -35,11 +36,11 @@
 	return fault.New(fault.TimedOut, "%d requests still in flight", len(g.calls))
 }
 
-func (g *Gateway) closeIdle() {
+func (g *Gateway) closeIdleConnections() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.conduits {
-		c.Renew()
+		c.CloseIdleConnections()
 	}
 }
 
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// dumpCalls bounds the requests that a dump lists.
-const dumpCalls = 50
+// maxDumpCalls bounds the requests that a dump lists.
+const maxDumpCalls = 50
 
-// Dump returns the state in readable lines.
+// Dump returns the state as human-readable lines.
 func (g *Gateway) Dump() string {
 	var b strings.Builder
 	r := g.Report()
@@ -40,18 +40,18 @@
 	g.mu.Lock()
 	calls := slices.Collect(maps.Keys(g.calls))
 	g.mu.Unlock()
-	slices.SortFunc(calls, func(x, y *call) int { return x.started.Compare(y.started) })
+	slices.SortFunc(calls, func(x, y *call) int { return x.startedAt.Compare(y.startedAt) })
 	now := time.Now()
-	for _, c := range calls[:min(len(calls), dumpCalls)] {
+	for _, c := range calls[:min(len(calls), maxDumpCalls)] {
 		fmt.Fprintf(b, "request id=%s service=%s method=%s hops=%d age=%s left=%s\n",
-			c.id, c.service.Name, c.r.Method, c.hops, now.Sub(c.started), c.deadline.Sub(now))
+			c.id, c.service.Name, c.r.Method, c.hops, now.Sub(c.startedAt), c.deadline.Sub(now))
 	}
 }
 
-func logCall(c *call, t *target) []zap.Field {
+func callFields(c *call, t *target) []zap.Field {
 	return []zap.Field{
 		zap.String("request", c.id),
 		zap.String("service", c.service.Name),
-		zap.String("target", t.worker),
+		zap.String("target", t.id),
 	}
 }
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -8,11 +8,12 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// minExpiry keeps the expiry timer from firing without pause.
-const minExpiry = time.Millisecond
+// minExpiryDelay keeps the expiry timer from firing in a busy loop.
+const minExpiryDelay = time.Millisecond
 
-// enter asks the gate for a slot and waits while the request is queued.
-func (g *Gateway) enter(c *call) (*admission.Ticket, *fault.Error) {
+// acquireSlot requests a slot from the gate and waits while the request is
+// queued.
+func (g *Gateway) acquireSlot(c *call) (*admission.Ticket, *fault.Error) {
 	t, wait, err := g.offer(c)
 	if err != nil || wait == nil {
 		return t, err
@@ -50,7 +51,8 @@
 	return t, wait, nil
 }
 
-// withdraw takes back a ticket whose caller went away or whose deadline passed.
+// withdraw abandons a ticket whose caller disconnected or whose deadline
+// passed.
 func (g *Gateway) withdraw(c *call, t *admission.Ticket) *fault.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,17 +60,17 @@
 	if _, waiting := g.waiters[t]; waiting {
 		delete(g.waiters, t)
 		g.gate.Abandon(now, t)
-		g.wake(g.gate.Admit(now))
+		g.wakeWaiters(g.gate.Admit(now))
 	} else if t.Admitted {
 		g.gate.Abandon(now, t)
-		g.wake(g.gate.Admit(now))
+		g.wakeWaiters(g.gate.Admit(now))
 	}
-	return c.unsent()
+	return c.notSentFault()
 }
 
-// exit gives the slot back, and tells the gate what the replicas in rotation
-// hold by now.
-func (g *Gateway) exit(t *admission.Ticket, latency time.Duration, ok bool) {
+// releaseSlot releases the slot, and updates the gate's capacity to that of the
+// replicas currently in rotation.
+func (g *Gateway) releaseSlot(t *admission.Ticket, latency time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -76,21 +78,22 @@
 	if b, found := g.balancers[service]; found {
 		g.gate.Capacity(service, b.Slots(now))
 	}
-	g.wake(g.gate.Release(now, t, latency, ok))
+	g.wakeWaiters(g.gate.Release(now, t, latency, ok))
 	g.armExpiry(now)
 }
 
-// quit gives the slot of a call back that says nothing about the workers.
-func (g *Gateway) quit(t *admission.Ticket) {
+// abandonSlot releases the slot of a call that gives no sample of the workers'
+// latency.
+func (g *Gateway) abandonSlot(t *admission.Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.gate.Abandon(now, t)
-	g.wake(g.gate.Admit(now))
+	g.wakeWaiters(g.gate.Admit(now))
 }
 
-// wake lets the waiting requests of tickets go on; g.mu is held.
-func (g *Gateway) wake(tickets []*admission.Ticket) {
+// wakeWaiters resumes the waiting requests of tickets. g.mu is held.
+func (g *Gateway) wakeWaiters(tickets []*admission.Ticket) {
 	for _, t := range tickets {
 		wait, ok := g.waiters[t]
 		if !ok {
@@ -101,8 +104,8 @@
 	}
 }
 
-// armExpiry sets the timer for the next waiting request that the gate will
-// give up on; g.mu is held.
+// armExpiry sets the timer to the next time at which the gate may have waiting
+// requests to expire. g.mu is held.
 func (g *Gateway) armExpiry(now time.Time) {
 	at, ok := g.gate.NextExpiry()
 	if !ok {
@@ -112,19 +115,19 @@
 	if armed {
 		return
 	}
-	if g.expiry != nil {
-		g.expiry.Stop()
+	if g.expiryTimer != nil {
+		g.expiryTimer.Stop()
 	}
 	g.expiryAt = at
-	g.expiry = time.AfterFunc(max(at.Sub(now), minExpiry), g.expire)
+	g.expiryTimer = time.AfterFunc(max(at.Sub(now), minExpiryDelay), g.expireWaiters)
 }
 
-func (g *Gateway) expire() {
+func (g *Gateway) expireWaiters() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.expiryAt = time.Time{}
-	g.wake(g.gate.Expire(now))
+	g.wakeWaiters(g.gate.Expire(now))
 	g.armExpiry(now)
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the traffic side of an entry instance: it takes the
-// requests of callers and of other entry instances, admits them, sends them
-// to replicas on the instance's own workers or forwards them to a peer, and
-// passes the answers back whole.
+// Package gateway serves the request traffic of an entry instance. It accepts
+// requests from callers and from other entry instances, admits them, sends
+// them to replicas on the instance's own workers or forwards them to a peer,
+// and relays the responses. A truncated response is never relayed as complete.
 //
 // Usage:
 //
@@ -14,26 +14,27 @@
 //
 // A request is POST /services/{service}/{rest}, of any method. A refusal
 // carries its kind (Dogwood-Fault), whether the work ran (Dogwood-Ran) and
-// when to come back (Retry-After, Dogwood-Retry-After), as package fault's
-// table has them.
+// when to retry (Retry-After, Dogwood-Retry-After), as defined by the table
+// in package fault.
 //
-// # Repeats
+// # Retries
 //
-// A request is sent again only if it is idempotent (by its method or by its
-// service) or provably did not run, while its body can be replayed, its
-// deadline is ahead and the service's retry budget allows it. Anything else
-// is sent at most once; see package conduit for the guard beneath.
+// A request is retried only if it is idempotent (by its method or by its
+// service) or provably did not run, and only while its body can be replayed,
+// its deadline is ahead and the service's retry budget allows it. Any other
+// request is sent at most once; package conduit enforces this per connection.
 //
 // A caller may repeat a non-idempotent request under the same
-// Idempotency-Key, here or at another entry instance. Before such a request
+// Idempotency-Key, at this or at another entry instance. Before such a request
 // is sent, its key is claimed at two homes, the first two entry instances in
-// rendezvous order; a repeat is answered with Duplicate. When members come or
-// go, each instance passes its keys on to their new homes, and a leaving one
-// does so before it stops. This holds within the key's time, unless both
-// homes die before one could pass the key on, or two parts of a network
-// each count the other's instances as gone: then a repeat can run again. The
-// key is passed to the worker, which may remember it longer. Where a home
-// can't be reached the request is refused and did not run.
+// rendezvous order; a repeat is refused with Duplicate. When the membership
+// changes, each instance transfers its keys to their new homes, and a leaving
+// one does so before it stops. The guarantee lasts for the key's lifetime. It
+// is lost, and a repeat can run again, if both homes die before either could
+// transfer the key, or if both sides of a network partition consider the
+// other side's instances gone. The key is also passed to the worker, which
+// may remember it longer. If a home is unreachable, the request is refused
+// without having run.
 package gateway
 
 import (
@@ -53,40 +54,40 @@
 	"goji.io/pat"
 )
 
-// Gateway serves requests by the newest published table.
+// Gateway serves requests according to the latest published table.
 type Gateway struct {
 	config
-	prefix  string // of request ids
-	counter atomic.Uint64
-	table   atomic.Pointer[route.Table]
-	buffers sync.Pool
-	kept    atomic.Int64 // bytes of kept bodies
-	counts  counts
-	leaving atomic.Bool // set with draining
-	keys    *keys
+	idPrefix      string // of request ids
+	idCounter     atomic.Uint64
+	table         atomic.Pointer[route.Table]
+	buffers       sync.Pool
+	bufferedBytes atomic.Int64 // memory held by buffered bodies
+	counters      counters
+	leaving       atomic.Bool // copy of draining that can be read without mu
+	keys          *keyStore
 
-	mu        sync.Mutex
-	chooser   *forward.Chooser // nil until a table is published
-	gate      *admission.Gate
-	waiters   map[*admission.Ticket]chan struct{}
-	expiry    *time.Timer
-	expiryAt  time.Time
-	balancers map[string]*balancer.Balancer
-	budgets   map[string]*budget.Budget
-	conduits  map[string]*conduit.Conduit
-	latencies map[string]*latency
-	calls     map[*call]struct{}
-	spread    *route.Table // by whose members the keys were last spread
-	spreading bool
-	draining  bool
-	drained   chan struct{} // closed when draining and no call is left
+	mu              sync.Mutex
+	chooser         *forward.Chooser // nil until a table is published
+	gate            *admission.Gate
+	waiters         map[*admission.Ticket]chan struct{}
+	expiryTimer     *time.Timer
+	expiryAt        time.Time
+	balancers       map[string]*balancer.Balancer
+	budgets         map[string]*budget.Budget
+	conduits        map[string]*conduit.Conduit
+	latencies       map[string]*latency
+	calls           map[*call]struct{}
+	rebalancedTable *route.Table // membership for which the keys were last rebalanced
+	rebalancing     bool
+	draining        bool
+	drained         chan struct{} // closed once draining has left no call in flight
 }
 
-// New returns a Gateway that refuses everything until a table is published.
+// New returns a Gateway that refuses all requests until a table is published.
 func New(opts ...Option) *Gateway {
 	g := &Gateway{
 		config:    defaults(),
-		prefix:    rand.Text()[:idBytes],
+		idPrefix:  rand.Text()[:idPrefixBytes],
 		gate:      admission.New(),
 		waiters:   make(map[*admission.Ticket]chan struct{}),
 		balancers: make(map[string]*balancer.Balancer),
@@ -99,8 +100,8 @@
 	for _, opt := range opts {
 		opt(&g.config)
 	}
-	g.keys = newKeys(g.config.keys, g.keyTime)
-	g.buffers.New = func() any { return new([copyBytes]byte) }
+	g.keys = newKeyStore(g.config.maxKeys, g.keyTTL)
+	g.buffers.New = func() any { return new([copyBufferBytes]byte) }
 	return g
 }
 
@@ -112,10 +113,10 @@
 // Forwards returns the handler of the listener for other entry instances.
 func (g *Gateway) Forwards() http.Handler {
 	mux := g.mux("forward", 1)
-	mux.HandleFunc(pat.Post(claimPattern), g.serveClaim)
-	mux.HandleFunc(pat.Delete(claimPattern), g.serveRelease)
-	mux.HandleFunc(pat.Post(spreadPath), g.serveSpread)
-	mux.HandleFunc(pat.Get(probePath), g.serveProbe)
+	mux.HandleFunc(pat.Post(claimPattern), g.handleClaim)
+	mux.HandleFunc(pat.Delete(claimPattern), g.handleRelease)
+	mux.HandleFunc(pat.Post(keyTransferPath), g.handleKeyTransfer)
+	mux.HandleFunc(pat.Get(probePath), g.handleProbe)
 	return mux
 }
 
@@ -129,7 +130,8 @@
 	return mux
 }
 
-// Free returns the free slots by service, none when the instance is leaving.
+// Free returns the number of free slots by service, and nil when the instance
+// is leaving.
 func (g *Gateway) Free() map[string]int {
 	if g.isLeaving() {
 		return nil
@@ -144,7 +146,7 @@
 	return free
 }
 
-// conduitTo returns the connections to address.
+// conduitTo returns the conduit to address, creating it on first use.
 func (g *Gateway) conduitTo(address string) *conduit.Conduit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,8 +160,8 @@
 
 func (g *Gateway) conduitOptions() []conduit.Option {
 	opts := []conduit.Option{
-		conduit.WithConnections(g.connections - 1),
-		conduit.WithStray(func() { g.counts.dropped.Add(1) }),
+		conduit.WithMaxConnections(g.maxConnections - 1),
+		conduit.WithOnUnsolicited(func() { g.counters.dropped.Add(1) }),
 	}
 	if g.dial != nil {
 		opts = append(opts, conduit.WithDial(g.dial))
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 			rw.WriteHeader(http.StatusCreated)
 			fmt.Fprint(rw, "gold")
 		})})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 
 		req, err := http.NewRequest(http.MethodPost, "http://e1/services/price/scrap%2Fcopper?q=1", strings.NewReader("load"))
 		is.NoErr(err)
@@ -59,8 +59,8 @@
 	})
 }
 
-// The caller reads each piece before the worker sends the next, so an answer
-// that was collected first would never end.
+// Guards against buffering a streamed response: the worker sends each piece
+// only after the caller has read the previous one.
 func TestStreamIsPassedPieceByPiece(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -72,10 +72,10 @@
 				rw.(http.Flusher).Flush()
 				<-read
 			}
-			time.Sleep(6 * time.Second) // no reason to doubt the connection
+			time.Sleep(6 * time.Second) // longer than the silence timeout
 			fmt.Fprint(rw, 3)
 		})})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 		resp, err := s.client.Get("http://e1/services/price")
 		is.NoErr(err)
 		defer resp.Body.Close()
@@ -93,9 +93,8 @@
 	})
 }
 
-// Symptom: memory grows with the size of an answer that a caller takes slowly.
-// Sequence: the worker sends without end, the caller reads one byte and stops.
-// Cause: a copy loop that reads on while its writes wait.
+// Guards against buffering a large response for a slow caller: the worker sends
+// without end, and the caller reads one byte and stops.
 func TestSlowCallerSlowsTheWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,13 +110,13 @@
 				written += k
 			}
 		})})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 		resp, err := s.client.Get("http://e1/services/price")
 		is.NoErr(err)
 		_, err = io.ReadFull(resp.Body, make([]byte, 1))
 		is.NoErr(err)
 		synctest.Wait()
-		is.True(written < 4*copyBytes)
+		is.True(written < 4*copyBufferBytes)
 		resp.Body.Close()
 	})
 }
@@ -144,7 +143,7 @@
 				is := is.New(t)
 				table := tableOf("e1", "w1")
 				table.Services["empty"] = table.Services["price"]
-				s := newSite(newNetwork(t), "e1", table, WithBodyBytes(100))
+				s := newInstance(newNetwork(t), "e1", table, WithMaxBodyBytes(100))
 				req, err := http.NewRequest(http.MethodPost, "http://e1"+test.path, strings.NewReader(test.body))
 				is.NoErr(err)
 				for i := 0; i < len(test.header); i += 2 {
@@ -158,7 +157,7 @@
 				is.Equal(resp.Header.Get(HeaderFault), test.kind.String())
 				is.Equal(resp.Header.Get(HeaderRan), "not-run")
 				if row.RetryAfter > 0 {
-					is.Equal(resp.Header.Get("Retry-After"), strconv.FormatInt(seconds(row.RetryAfter), 10))
+					is.Equal(resp.Header.Get("Retry-After"), strconv.FormatInt(ceilSeconds(row.RetryAfter), 10))
 					is.Equal(resp.Header.Get(HeaderRetryAfter), formatMillis(row.RetryAfter))
 				}
 				body, err := io.ReadAll(resp.Body)
@@ -170,10 +169,8 @@
 	}
 }
 
-// Symptom: a request runs on a worker that another instance owns.
-// Sequence: the worker is chosen; the connection takes two seconds to open;
-// the lease lapses after one.
-// Cause: the lease was checked when the worker was chosen only.
+// Guards against sending to a worker that another instance may own: the lease
+// lapses after one second, while the connection takes two seconds to open.
 func TestLapsedLeaseSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,39 +180,38 @@
 		n.serve("w1", &http.Server{Handler: w})
 		table := tableOf("e1", "w1")
 		table.Backends["price"][0].Until = time.Now().Add(time.Second)
-		s := newSite(n, "e1", table, WithLate(time.Minute))
+		s := newInstance(n, "e1", table, WithProbeAfter(time.Minute))
 		resp, err := s.client.Get("http://e1/services/none") // opens the caller's connection
 		is.NoErr(err)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		n.latency = 2 * time.Second
-		a := s.ask(http.MethodPost, "")
+		a := s.send(http.MethodPost, "")
 		is.NoErr(a.err)
 		is.Equal(a.fault(), fault.StaleEpoch.String())
 		is.Equal(a.ran(), "not-run")
-		is.Equal(w.total(), 0)
+		is.Equal(w.totalRuns(), 0)
 		is.Equal(s.gateway.Report().Lapsed, uint64(1))
 	})
 }
 
-// Symptom: a caller gets the price of someone else's load.
-// Sequence: a worker answers on a connection with the echo of another request.
-// Cause: an answer was bound to its request by the order on the connection.
+// Guards against relaying another request's response: a worker's response
+// echoes the id of another request.
 func TestAnswerToAnotherRequestIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t)
-		right := false
+		correct := false
 		n.serve("w1", &http.Server{Handler: newWorker(func(rw http.ResponseWriter, r *http.Request) {
-			if !right {
+			if !correct {
 				rw.Header().Set(HeaderRequest, "another")
 				rw.WriteHeader(http.StatusNoContent)
 				return
 			}
 			fmt.Fprint(rw, "gold")
 		})})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
-		a := s.ask(http.MethodPost, "")
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
+		a := s.send(http.MethodPost, "")
 		is.NoErr(a.err)
 		is.Equal(a.fault(), fault.Broken.String())
 		is.Equal(a.ran(), "may-have-run")
@@ -223,14 +219,13 @@
 		is.Equal(s.gateway.Report().Dropped, uint64(1))
 		is.Equal(s.gateway.Report().Connections["w1"], 0) // retired
 
-		right = true
-		is.Equal(s.ask(http.MethodPost, "").body, "gold")
+		correct = true
+		is.Equal(s.send(http.MethodPost, "").body, "gold")
 	})
 }
 
-// Symptom: a caller gets the answer to the request before its own.
-// Sequence: a worker sends an answer twice; the connection is used again.
-// Cause: the second copy was taken for the next request's answer.
+// Guards against taking a duplicated response for the response to the next
+// request on a reused connection. The copy arrives at once or a second later.
 func TestDoubledAnswer(t *testing.T) {
 	for _, gap := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -250,9 +245,9 @@
 					io.WriteString(conn, once)
 				}()
 			})})
-			s := newSite(n, "e1", tableOf("e1", "w1"))
+			s := newInstance(n, "e1", tableOf("e1", "w1"))
 			for i := range 4 {
-				a := s.ask(http.MethodPost, "", "X-Ask", fmt.Sprint(i))
+				a := s.send(http.MethodPost, "", "X-Ask", fmt.Sprint(i))
 				is.True(a.fault() == "Broken" || a.body == fmt.Sprint(i))
 				time.Sleep(2 * gap)
 			}
@@ -263,14 +258,13 @@
 	}
 }
 
-// Symptom: a caller takes the first half of an answer for all of it.
-// Sequence: the worker's connection ends before the answer does.
-// Cause: the caller's answer was ended properly all the same.
+// Guards against relaying a truncated response as complete: the worker's
+// connection closes before the response ends.
 func TestTruncatedAnswerIsNeverWhole(t *testing.T) {
 	tests := []struct {
 		name    string
 		raw     string // after the header with the echo
-		refused bool   // known before any byte was passed
+		refused bool   // detected before any byte was relayed
 	}{
 		{name: "short", raw: "Content-Length: 9\r\n\r\ngold", refused: true},
 		{name: "long", raw: "Content-Length: 99999\r\n\r\ngold"},
@@ -289,8 +283,8 @@
 					buffer.Flush()
 					conn.Close()
 				})})
-				s := newSite(n, "e1", tableOf("e1", "w1"))
-				a := s.ask(http.MethodPost, "")
+				s := newInstance(n, "e1", tableOf("e1", "w1"))
+				a := s.send(http.MethodPost, "")
 				is.Equal(s.gateway.Report().Truncated, uint64(1))
 				if !test.refused {
 					is.True(a.err != nil)
@@ -304,9 +298,8 @@
 	}
 }
 
-// Symptom: a worker goes on with work that nobody waits for.
-// Sequence: the caller closes its connection while the worker runs.
-// Cause: the request to the worker outlived the caller's.
+// Guards against a worker that continues to run a request after its caller has
+// disconnected.
 func TestCallerGoesAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -316,11 +309,11 @@
 			<-r.Context().Done()
 			close(stopped)
 		})})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		a := s.askWith(ctx, http.MethodPost, nil)
+		a := s.sendWith(ctx, http.MethodPost, nil)
 		is.True(a.err != nil)
 		<-stopped
 		is.Equal(time.Since(began), time.Second)
@@ -331,28 +324,26 @@
 	})
 }
 
-// Symptom: a worker refuses connections.
-// Sequence: an instance sends it more requests at a time than it takes connections.
-// Cause: the number of connections followed the number of requests.
+// Guards against exhausting a worker's connections: more requests are in flight
+// than connections are allowed.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t)
 		n.serve("w1", &http.Server{Handler: newWorker(func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })})
-		s := newSite(n, "e1", tableOf("e1", "w1"), WithConnections(4), WithLate(time.Minute))
-		var asked sync.WaitGroup
+		s := newInstance(n, "e1", tableOf("e1", "w1"), WithMaxConnections(4), WithProbeAfter(time.Minute))
+		var calls sync.WaitGroup
 		for range 8 {
-			asked.Go(func() { is.Equal(s.ask(http.MethodPost, "").status, http.StatusOK) })
+			calls.Go(func() { is.Equal(s.send(http.MethodPost, "").status, http.StatusOK) })
 		}
 		synctest.Wait()
-		is.Equal(s.gateway.Report().Connections["w1"], 3) // and one for probes
-		asked.Wait()
+		is.Equal(s.gateway.Report().Connections["w1"], 3) // the fourth is reserved for probes
+		calls.Wait()
 	})
 }
 
-// Symptom: a caller waits past its deadline.
-// Sequence: the worker says that it runs the request, and never answers.
-// Cause: nothing ended the wait.
+// Guards against waiting past the deadline: the worker reports that it runs the
+// request, and never responds.
 func TestDeadlineEndsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -360,9 +351,9 @@
 		w := newWorker(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		w.running = "true"
 		n.serve("w1", &http.Server{Handler: w})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 		began := time.Now()
-		a := s.ask(http.MethodPost, "", HeaderDeadline, "3000")
+		a := s.send(http.MethodPost, "", HeaderDeadline, "3000")
 		is.NoErr(a.err)
 		is.Equal(a.fault(), fault.TimedOut.String())
 		is.Equal(a.ran(), "may-have-run")
--- a/gateway/header.go
+++ b/gateway/header.go
@@ -14,14 +14,14 @@
 // Headers between callers, entry instances and workers.
 const (
 	HeaderEpoch      = wire.HeaderEpoch      // the lease's epoch
-	HeaderRequest    = wire.HeaderRequest    // the request's id, echoed in each answer
+	HeaderRequest    = wire.HeaderRequest    // the request's id, echoed in each response
 	HeaderDeadline   = wire.HeaderDeadline   // milliseconds left
 	HeaderFault      = wire.HeaderFault      // the kind of a refusal
 	HeaderRan        = "Dogwood-Ran"         // whether the work of a refused request ran
 	HeaderRetryAfter = "Dogwood-Retry-After" // milliseconds
 	HeaderHops       = "Dogwood-Hops"        // how often the request was forwarded
-	HeaderRunning    = "Dogwood-Running"     // in the answer to a probe: whether the request runs
-	HeaderFree       = "Dogwood-Free"        // free slots, in a peer's answer
+	HeaderRunning    = "Dogwood-Running"     // in the response to a probe: whether the request runs
+	HeaderFree       = "Dogwood-Free"        // free slots, in a peer's response
 	HeaderKey        = wire.HeaderKey
 )
 
@@ -36,8 +36,8 @@
 	fault.DidRun:   "ran",
 }
 
-// hopHeaders are meant for one connection and never passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are the hop-by-hop headers, which are never passed on.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Expect":              true,
 	"Keep-Alive":          true,
@@ -50,12 +50,12 @@
 	"Upgrade":             true,
 }
 
-// copyHeader adds to dst what may be passed on of src. The values are
-// shared, not copied.
+// copyHeader adds the headers of src that may be passed on to dst. The values
+// are shared, not copied.
 func copyHeader(dst, src http.Header) {
 	listed := src["Connection"]
 	for name, values := range src {
-		if hopHeaders[name] || strings.HasPrefix(name, headerPrefix) {
+		if hopByHopHeaders[name] || strings.HasPrefix(name, headerPrefix) {
 			continue
 		}
 		if listed != nil && isListed(listed, name) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// isListed reports whether a Connection header names the header.
+// isListed reports whether the Connection header lists name.
 func isListed(connection []string, name string) bool {
 	for _, line := range connection {
 		for token := range strings.SplitSeq(line, ",") {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// isIdempotent reports whether HTTP lets a request of the method be repeated.
+// isIdempotent reports whether HTTP defines the method as idempotent.
 func isIdempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -86,8 +86,8 @@
 	return false
 }
 
-// parseMillis reads a header of milliseconds. Values that no Duration holds
-// are cut to limit.
+// parseMillis parses a number of milliseconds. Values above limit, which might
+// overflow a Duration, are reduced to limit.
 func parseMillis(text string, limit time.Duration) (time.Duration, error) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// formatMillis writes d in whole milliseconds, at least 1.
+// formatMillis formats d in whole milliseconds, at least 1.
 func formatMillis(d time.Duration) string {
 	return strconv.FormatInt(max(d.Milliseconds(), 1), 10)
 }
--- a/gateway/keys.go
+++ b/gateway/keys.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// keys remembers idempotency keys for which this instance is a home.
+// keyStore holds the idempotency keys for which this instance is a home.
 //
-// It holds at most limit keys, each for the time keep. A full memory grants
-// nothing more: dropping an old key early would let a repeat run again.
-type keys struct {
-	limit int
-	keep  time.Duration
+// It holds at most maxKeys keys, each for ttl. A full store refuses new claims:
+// evicting an old key early would let a repeat run again.
+type keyStore struct {
+	maxKeys int
+	ttl     time.Duration
 
 	mu      sync.Mutex
 	entries map[uint64]*list.Element
-	order   list.List // of *keyEntry, oldest first
+	order   list.List // of *keyEntry, in the order of expiry
 }
 
 type keyEntry struct {
-	hash  uint64
-	owner string // id of the request that claimed the key
-	until time.Time
+	hash      uint64
+	owner     string // id of the request that claimed the key
+	expiresAt time.Time
 }
 
-// grant is the answer to a claim.
-type grant int
+// claimResult is the result of a claim.
+type claimResult int
 
 const (
-	granted grant = iota
+	granted claimResult = iota
 	duplicate
-	crowded
+	storeFull
 )
 
-func newKeys(limit int, keep time.Duration) *keys {
-	return &keys{limit: limit, keep: keep, entries: make(map[uint64]*list.Element)}
+func newKeyStore(maxKeys int, ttl time.Duration) *keyStore {
+	return &keyStore{maxKeys: maxKeys, ttl: ttl, entries: make(map[uint64]*list.Element)}
 }
 
-// claim gives the key to the request, unless another has it. A claim may be
-// repeated by its owner.
-func (k *keys) claim(now time.Time, hash uint64, owner string) grant {
+// claim records the request as owner of the key, unless another request owns
+// it. It is idempotent for the owner.
+func (k *keyStore) claim(now time.Time, hash uint64, owner string) claimResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire(now)
@@ -50,15 +50,15 @@
 		}
 		return duplicate
 	}
-	if len(k.entries) >= k.limit {
-		return crowded
+	if len(k.entries) >= k.maxKeys {
+		return storeFull
 	}
-	k.entries[hash] = k.order.PushBack(&keyEntry{hash, owner, now.Add(k.keep)})
+	k.entries[hash] = k.order.PushBack(&keyEntry{hash, owner, now.Add(k.ttl)})
 	return granted
 }
 
-// release forgets a key whose owner provably did not run.
-func (k *keys) release(hash uint64, owner string) {
+// release removes a key whose owner provably did not run.
+func (k *keyStore) release(hash uint64, owner string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, ok := k.entries[hash]
@@ -69,24 +69,25 @@
 	k.order.Remove(e)
 }
 
-// adopt remembers a key for another home, for the time that is left of it.
-func (k *keys) adopt(now time.Time, entry keyEntry) {
+// add stores a key received from another home for the rest of its lifetime.
+func (k *keyStore) add(now time.Time, entry keyEntry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire(now)
-	if _, ok := k.entries[entry.hash]; ok || len(k.entries) >= k.limit {
+	if _, ok := k.entries[entry.hash]; ok || len(k.entries) >= k.maxKeys {
 		return
 	}
-	if latest := now.Add(k.keep); entry.until.After(latest) {
-		entry.until = latest
+	if latest := now.Add(k.ttl); entry.expiresAt.After(latest) {
+		entry.expiresAt = latest
 	}
 	k.insert(&entry)
 }
 
-// insert keeps the order by time; an adopted key goes before newer ones.
-func (k *keys) insert(entry *keyEntry) {
+// insert adds entry in the order of expiry: a key from another home may expire
+// before those already stored.
+func (k *keyStore) insert(entry *keyEntry) {
 	after := k.order.Back()
-	for after != nil && after.Value.(*keyEntry).until.After(entry.until) {
+	for after != nil && after.Value.(*keyEntry).expiresAt.After(entry.expiresAt) {
 		after = after.Prev()
 	}
 	if after == nil {
@@ -96,8 +97,8 @@
 	k.entries[entry.hash] = k.order.InsertAfter(entry, after)
 }
 
-// list returns a copy of all keys.
-func (k *keys) list(now time.Time) []keyEntry {
+// list returns a copy of all unexpired entries.
+func (k *keyStore) list(now time.Time) []keyEntry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire(now)
@@ -108,11 +109,11 @@
 	return list
 }
 
-// expire forgets the keys whose time is over; k.mu is held.
-func (k *keys) expire(now time.Time) {
+// expire removes the expired keys. k.mu is held.
+func (k *keyStore) expire(now time.Time) {
 	for e := k.order.Front(); e != nil; e = k.order.Front() {
 		entry := e.Value.(*keyEntry)
-		if now.Before(entry.until) {
+		if now.Before(entry.expiresAt) {
 			return
 		}
 		delete(k.entries, entry.hash)
@@ -120,8 +121,8 @@
 	}
 }
 
-// len returns the number of keys.
-func (k *keys) len() int {
+// len returns the number of keys, including expired ones not yet removed.
+func (k *keyStore) len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.entries)
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -16,18 +16,18 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// network connects clients and servers of one test in memory, so that a test
-// in a synctest bubble has all time under control.
+// network is an in-memory network of clients and servers, for tests in a
+// synctest bubble.
 type network struct {
-	quit      func(func()) // registers what ends the test
-	mu        sync.Mutex
-	listeners map[string]*listener
-	links     []*link
-	latency   time.Duration // of opening a connection
+	cleanup     func(func()) // registers a function to call at the end of the test
+	mu          sync.Mutex
+	listeners   map[string]*listener
+	clientConns []*clientConn
+	latency     time.Duration // to open a connection
 }
 
 func newNetwork(t *testing.T) *network {
-	return &network{quit: t.Cleanup, listeners: make(map[string]*listener)}
+	return &network{cleanup: t.Cleanup, listeners: make(map[string]*listener)}
 }
 
 // serve runs a server at address until the test ends.
@@ -37,10 +37,10 @@
 	n.listeners[address] = l
 	n.mu.Unlock()
 	go server.Serve(l)
-	n.quit(func() { server.Close() })
+	n.cleanup(func() { server.Close() })
 }
 
-// remove makes connections to address be refused.
+// remove makes the network refuse new connections to address.
 func (n *network) remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,26 +57,27 @@
 	if !ok {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	k := &link{Conn: near, address: address, closed: make(chan struct{})}
+	client, server := net.Pipe()
+	k := &clientConn{Conn: client, address: address, closed: make(chan struct{})}
 	select {
-	case l.conns <- far:
+	case l.conns <- server:
 	case <-l.closed:
 		return nil, errors.New("listener closed")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	n.links = append(n.links, k)
+	n.clientConns = append(n.clientConns, k)
 	n.mu.Unlock()
 	return k, nil
 }
 
-// silence makes the open connections to address carry nothing more.
+// silence drops all further data on the open connections to address, in both
+// directions, without closing them.
 func (n *network) silence(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, k := range n.links {
+	for _, k := range n.clientConns {
 		if k.address == address {
 			k.silent.Store(true)
 		}
@@ -86,7 +87,7 @@
 // client returns a client that closes its connections when the test ends.
 func (n *network) client() *http.Client {
 	transport := &http.Transport{DialContext: n.dial, DisableCompression: true}
-	n.quit(transport.CloseIdleConnections)
+	n.cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
@@ -112,8 +113,8 @@
 
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// link is the client's end of a connection.
-type link struct {
+// clientConn is the client's end of a connection.
+type clientConn struct {
 	net.Conn
 	address string
 	silent  atomic.Bool
@@ -121,14 +122,14 @@
 	once    sync.Once
 }
 
-func (k *link) Write(b []byte) (int, error) {
+func (k *clientConn) Write(b []byte) (int, error) {
 	if k.silent.Load() {
 		return len(b), nil
 	}
 	return k.Conn.Write(b)
 }
 
-func (k *link) Read(b []byte) (int, error) {
+func (k *clientConn) Read(b []byte) (int, error) {
 	n, err := k.Conn.Read(b)
 	if k.silent.Load() {
 		<-k.closed
@@ -137,34 +138,34 @@
 	return n, err
 }
 
-func (k *link) Close() error {
+func (k *clientConn) Close() error {
 	k.once.Do(func() { close(k.closed) })
 	return k.Conn.Close()
 }
 
-// worker is a backend server that counts what ran.
+// worker is a backend server that counts the requests it ran.
 type worker struct {
-	mu      sync.Mutex
-	runs    map[string]int // by request id
-	posts   map[string]int // those of non-idempotent requests
-	keys    map[string]int // non-idempotent ones by idempotency key
-	handler http.HandlerFunc
-	probed  atomic.Int64
-	running string // what a probe is told
+	mu                sync.Mutex
+	runs              map[string]int // by request id
+	nonIdempotentRuns map[string]int // of non-idempotent requests, by request id
+	keyRuns           map[string]int // of non-idempotent requests, by idempotency key
+	handler           http.HandlerFunc
+	probeCount        atomic.Int64
+	running           string // HeaderRunning in the response to a probe, not set when empty
 }
 
 func newWorker(handler http.HandlerFunc) *worker {
 	return &worker{
-		runs:    make(map[string]int),
-		posts:   make(map[string]int),
-		keys:    make(map[string]int),
-		handler: handler,
+		runs:              make(map[string]int),
+		nonIdempotentRuns: make(map[string]int),
+		keyRuns:           make(map[string]int),
+		handler:           handler,
 	}
 }
 
 func (w *worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == probePath {
-		w.probed.Add(1)
+		w.probeCount.Add(1)
 		if w.running != "" {
 			rw.Header().Set(HeaderRunning, w.running)
 		}
@@ -174,7 +175,7 @@
 	w.handler(rw, r)
 }
 
-// run counts that the request's work ran.
+// run counts a run of the request.
 func (w *worker) run(r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,14 +183,14 @@
 	if isIdempotent(r.Method) {
 		return
 	}
-	w.posts[r.Header.Get(HeaderRequest)]++
+	w.nonIdempotentRuns[r.Header.Get(HeaderRequest)]++
 	if key := r.Header.Get(HeaderKey); key != "" {
-		w.keys[key]++
+		w.keyRuns[key]++
 	}
 }
 
-// total returns how many runs there were.
-func (w *worker) total() int {
+// totalRuns returns the number of runs of all requests.
+func (w *worker) totalRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -199,7 +200,7 @@
 	return n
 }
 
-// tableOf returns a table of one service with the workers at addresses.
+// tableOf returns a table of the service price with workers at addresses.
 func tableOf(instance string, addresses ...string) *route.Table {
 	t := &route.Table{
 		Instance:         instance,
@@ -222,26 +223,27 @@
 	return t
 }
 
-// site is one entry instance with workers w1, w2, ... on a network.
-type site struct {
+// entryInstance is an entry instance on a network, with a client for its
+// callers.
+type entryInstance struct {
 	network *network
 	gateway *Gateway
 	client  *http.Client
 	id      string
 }
 
-// newSite starts the entry instance id, its listeners at id and id-peer.
-func newSite(n *network, id string, table *route.Table, opts ...Option) *site {
+// newInstance starts the entry instance id with listeners at id and id-peer.
+func newInstance(n *network, id string, table *route.Table, opts ...Option) *entryInstance {
 	opts = append([]Option{WithSeed(1), WithDial(n.dial)}, opts...)
 	g := New(opts...)
 	g.Publish(table)
 	n.serve(id, g.Server(g.Callers()))
 	n.serve(id+"-peer", g.Server(g.Forwards()))
-	return &site{network: n, gateway: g, client: n.client(), id: id}
+	return &entryInstance{network: n, gateway: g, client: n.client(), id: id}
 }
 
-// peer returns the site as others see it.
-func (s *site) peer(zone string, free int) route.Peer {
+// peer returns the instance as an entry of its peers' tables.
+func (s *entryInstance) peer(zone string, free int) route.Peer {
 	return route.Peer{
 		ID:               s.id,
 		Address:          s.id + "-peer",
@@ -251,39 +253,40 @@
 	}
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	closed bool  // the server ends the connection
+	closed bool  // the server announced to close the connection
 	err    error // of the request or of the body
 }
 
-func (a answer) ran() string   { return a.header.Get(HeaderRan) }
-func (a answer) fault() string { return a.header.Get(HeaderFault) }
+func (a response) ran() string   { return a.header.Get(HeaderRan) }
+func (a response) fault() string { return a.header.Get(HeaderFault) }
 
-// ask sends a request as a caller does; header holds names and values in turn.
-func (s *site) ask(method, body string, header ...string) answer {
-	return s.askWith(context.Background(), method, strings.NewReader(body), header...)
+// send sends a request to the service price. header alternates names and
+// values.
+func (s *entryInstance) send(method, body string, header ...string) response {
+	return s.sendWith(context.Background(), method, strings.NewReader(body), header...)
 }
 
-func (s *site) askWith(ctx context.Context, method string, body io.Reader, header ...string) answer {
+func (s *entryInstance) sendWith(ctx context.Context, method string, body io.Reader, header ...string) response {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.id+"/services/price/load", body)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
-		return answer{err: err, header: http.Header{}}
+		return response{err: err, header: http.Header{}}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(text), closed: resp.Close, err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(text), closed: resp.Close, err: err}
 }
 
-// cut closes the connection of a request without an answer.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// closeConnection closes the connection of a request without a response.
+func closeConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/gateway/option.go
+++ b/gateway/option.go
@@ -10,117 +10,119 @@
 
 // Defaults of the options.
 const (
-	defaultTimeout     = 30 * time.Second // of a service that sets none
-	defaultMaxDeadline = 10 * time.Minute
-	defaultBodyBytes   = 64 << 20
-	defaultReplayBytes = 64 << 10
-	defaultBufferBytes = 64 << 20
-	defaultHeaderBytes = 32 << 10
-	defaultRequests    = 8192
-	defaultConnections = 64
-	defaultAttempts    = 3
-	defaultLate        = 500 * time.Millisecond
-	defaultProbe       = time.Second
-	defaultSilence     = 2 * time.Second
-	defaultKeys        = 1 << 16
-	defaultKeyTime     = 10 * time.Minute
+	defaultTimeout          = 30 * time.Second // for a service without a timeout
+	defaultMaxDeadline      = 10 * time.Minute
+	defaultMaxBodyBytes     = 64 << 20
+	defaultMaxReplayBytes   = 64 << 10
+	defaultMaxBufferedBytes = 64 << 20
+	defaultMaxHeaderBytes   = 32 << 10
+	defaultMaxRequests      = 8192
+	defaultMaxConnections   = 64
+	defaultMaxAttempts      = 3
+	defaultProbeAfter       = 500 * time.Millisecond
+	defaultProbeTimeout     = time.Second
+	defaultSilenceTimeout   = 2 * time.Second
+	defaultMaxKeys          = 1 << 16
+	defaultKeyTTL           = 10 * time.Minute
 )
 
 type config struct {
-	logger      *zap.Logger
-	seed        uint64
-	dial        conduit.Dial
-	maxDeadline time.Duration
-	bodyBytes   int64
-	replayBytes int64
-	bufferBytes int64
-	headerBytes int
-	requests    int
-	connections int
-	attempts    int
-	late        time.Duration
-	probeTime   time.Duration
-	silence     time.Duration
-	keys        int
-	keyTime     time.Duration
+	logger           *zap.Logger
+	seed             uint64
+	dial             conduit.Dial
+	maxDeadline      time.Duration
+	maxBodyBytes     int64
+	maxReplayBytes   int64
+	maxBufferedBytes int64
+	maxHeaderBytes   int
+	maxRequests      int
+	maxConnections   int
+	maxAttempts      int
+	probeAfter       time.Duration
+	probeTimeout     time.Duration
+	silenceTimeout   time.Duration
+	maxKeys          int
+	keyTTL           time.Duration
 }
 
 func defaults() config {
 	return config{
-		logger:      zap.NewNop(),
-		seed:        rand.Uint64(),
-		maxDeadline: defaultMaxDeadline,
-		bodyBytes:   defaultBodyBytes,
-		replayBytes: defaultReplayBytes,
-		bufferBytes: defaultBufferBytes,
-		headerBytes: defaultHeaderBytes,
-		requests:    defaultRequests,
-		connections: defaultConnections,
-		attempts:    defaultAttempts,
-		late:        defaultLate,
-		probeTime:   defaultProbe,
-		silence:     defaultSilence,
-		keys:        defaultKeys,
-		keyTime:     defaultKeyTime,
+		logger:           zap.NewNop(),
+		seed:             rand.Uint64(),
+		maxDeadline:      defaultMaxDeadline,
+		maxBodyBytes:     defaultMaxBodyBytes,
+		maxReplayBytes:   defaultMaxReplayBytes,
+		maxBufferedBytes: defaultMaxBufferedBytes,
+		maxHeaderBytes:   defaultMaxHeaderBytes,
+		maxRequests:      defaultMaxRequests,
+		maxConnections:   defaultMaxConnections,
+		maxAttempts:      defaultMaxAttempts,
+		probeAfter:       defaultProbeAfter,
+		probeTimeout:     defaultProbeTimeout,
+		silenceTimeout:   defaultSilenceTimeout,
+		maxKeys:          defaultMaxKeys,
+		keyTTL:           defaultKeyTTL,
 	}
 }
 
-// Option changes a Gateway.
+// Option configures a Gateway.
 type Option func(*config)
 
-// WithSeed fixes the random choices among replicas and peers.
+// WithSeed sets the seed of the random choices among replicas and peers.
 func WithSeed(seed uint64) Option {
 	return func(c *config) { c.seed = seed }
 }
 
-// WithLogger sets the logger; the default logs nothing.
+// WithLogger sets the logger. The default discards all lines.
 func WithLogger(l *zap.Logger) Option { return func(c *config) { c.logger = l } }
 
-// WithDial replaces the way connections to workers and peers are opened.
+// WithDial sets the function that opens connections to workers and peers.
 func WithDial(d conduit.Dial) Option { return func(c *config) { c.dial = d } }
 
-// WithMaxDeadline bounds the deadline that a caller may ask for.
+// WithMaxDeadline bounds the deadline that a caller may request.
 func WithMaxDeadline(d time.Duration) Option { return func(c *config) { c.maxDeadline = d } }
 
-// WithBodyBytes bounds a request's body.
-func WithBodyBytes(n int64) Option { return func(c *config) { c.bodyBytes = n } }
+// WithMaxBodyBytes bounds the size of a request's body.
+func WithMaxBodyBytes(n int64) Option { return func(c *config) { c.maxBodyBytes = n } }
 
-// WithReplayBytes bounds the bodies that are kept to be sent again; longer
-// ones are streamed and sent once.
-func WithReplayBytes(n int64) Option { return func(c *config) { c.replayBytes = n } }
+// WithMaxReplayBytes bounds the size of a body that is buffered for retries.
+// A longer one is streamed and sent once.
+func WithMaxReplayBytes(n int64) Option { return func(c *config) { c.maxReplayBytes = n } }
 
-// WithBufferBytes bounds the memory of all kept bodies; above it bodies are
-// streamed.
-func WithBufferBytes(n int64) Option { return func(c *config) { c.bufferBytes = n } }
+// WithMaxBufferedBytes bounds the memory of all buffered bodies. Beyond it,
+// bodies are streamed.
+func WithMaxBufferedBytes(n int64) Option { return func(c *config) { c.maxBufferedBytes = n } }
 
-// WithHeaderBytes bounds the headers of a request.
-func WithHeaderBytes(n int) Option { return func(c *config) { c.headerBytes = n } }
+// WithMaxHeaderBytes bounds the size of a request's headers.
+func WithMaxHeaderBytes(n int) Option { return func(c *config) { c.maxHeaderBytes = n } }
 
-// WithRequests bounds the requests in flight, waiting ones included.
-func WithRequests(n int) Option { return func(c *config) { c.requests = n } }
+// WithMaxRequests bounds the requests in flight, including those that wait for
+// admission.
+func WithMaxRequests(n int) Option { return func(c *config) { c.maxRequests = n } }
 
-// WithConnections bounds the connections to one worker, probes included.
-func WithConnections(n int) Option { return func(c *config) { c.connections = n } }
+// WithMaxConnections bounds the connections to one worker, including the one
+// for probes.
+func WithMaxConnections(n int) Option { return func(c *config) { c.maxConnections = n } }
 
-// WithAttempts bounds how often one request is sent.
-func WithAttempts(n int) Option { return func(c *config) { c.attempts = n } }
+// WithMaxAttempts bounds how often one request is sent.
+func WithMaxAttempts(n int) Option { return func(c *config) { c.maxAttempts = n } }
 
-// WithLate sets how long an answer may take, at least, before its worker is
-// probed.
-func WithLate(d time.Duration) Option { return func(c *config) { c.late = d } }
+// WithProbeAfter sets the minimum time to wait for a response before its
+// worker is probed.
+func WithProbeAfter(d time.Duration) Option { return func(c *config) { c.probeAfter = d } }
 
-// WithProbe bounds a probe.
-func WithProbe(d time.Duration) Option { return func(c *config) { c.probeTime = d } }
+// WithProbeTimeout sets the timeout of a probe.
+func WithProbeTimeout(d time.Duration) Option { return func(c *config) { c.probeTimeout = d } }
 
-// WithSilence sets how long a connection may be silent, at least, before it
-// is given up though its worker answers probes.
-func WithSilence(d time.Duration) Option { return func(c *config) { c.silence = d } }
+// WithSilenceTimeout sets the minimum time that a connection may be silent
+// before it is closed although its worker answers probes.
+func WithSilenceTimeout(d time.Duration) Option { return func(c *config) { c.silenceTimeout = d } }
 
-// WithKeys bounds the number of idempotency keys remembered here, and the
-// time for which they are.
+// WithKeys sets how many idempotency keys this instance remembers, and for how
+// long.
 func WithKeys(n int, d time.Duration) Option {
 	return func(c *config) {
-		c.keys = n
-		c.keyTime = d
+		c.maxKeys = n
+		c.keyTTL = d
 	}
 }
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -13,17 +13,17 @@
 	"github.com/matryer/is"
 )
 
-// named answers with a name.
-func named(name string) http.HandlerFunc {
+// respondWith returns a handler that responds with name.
+func respondWith(name string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) { fmt.Fprint(rw, name) }
 }
 
 func TestForwardToPeer(t *testing.T) {
 	tests := []struct {
 		name  string
-		own   int // slots of the own worker; it is busy
-		near  int // free slots that the peer of the same zone told
-		far   int
+		own   int // slots of the own worker, one of them in use
+		near  int // free slots reported by the peer in the same zone
+		far   int // free slots reported by the peer in another zone
 		age   time.Duration
 		want  string
 		fault string
@@ -45,7 +45,7 @@
 					if r.Header.Get("X-Hold") != "" {
 						<-busy
 					}
-					named("own")(rw, r)
+					respondWith("own")(rw, r)
 				})})
 				table := tableOf("e1")
 				if test.own > 0 {
@@ -56,20 +56,20 @@
 					if free == 0 && test.want != name {
 						continue
 					}
-					n.serve("w-"+name, &http.Server{Handler: newWorker(named(name))})
+					n.serve("w-"+name, &http.Server{Handler: newWorker(respondWith(name))})
 					zone := map[string]string{"near": "a", "far": "b"}[name]
-					table.Peers = append(table.Peers, newSite(n, name, tableOf(name, "w-"+name)).peer(zone, free))
+					table.Peers = append(table.Peers, newInstance(n, name, tableOf(name, "w-"+name)).peer(zone, free))
 				}
 				time.Sleep(test.age)
-				without := route.Peer{ID: "without", AvailabilityZone: "a", Heard: time.Now()}
-				table.Peers = append(table.Peers, without)
-				s := newSite(n, "e1", table)
+				withoutService := route.Peer{ID: "without", AvailabilityZone: "a", Heard: time.Now()}
+				table.Peers = append(table.Peers, withoutService)
+				s := newInstance(n, "e1", table)
 				if test.own > 0 {
-					go s.ask(http.MethodPost, "", "X-Hold", "1")
+					go s.send(http.MethodPost, "", "X-Hold", "1")
 				}
 				synctest.Wait()
 				time.AfterFunc(time.Second, func() { close(busy) })
-				a := s.ask(http.MethodPost, "load")
+				a := s.send(http.MethodPost, "load")
 				is.NoErr(a.err)
 				is.Equal(a.body, test.want)
 				is.Equal(s.gateway.Report().Forwards > 0, test.want != "own")
@@ -80,11 +80,9 @@
 	}
 }
 
-// Symptom: a request circles between entry instances; a refusal by a peer
-// is reported as something it was not.
-// Sequence: the instance forwards, and the peer can't or may have served.
-// Cause: a forwarded request was forwarded again, or a peer's refusal was
-// replaced by the forwarder's own guess.
+// Guards against forwarding a request twice, and against changing a peer's
+// refusal: the instance forwards, and the peer can't serve the request or may
+// have run it.
 func TestPeerRefusalIsPassedTruthfully(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -101,15 +99,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				n := newNetwork(t)
-				n.serve("w2", &http.Server{Handler: newWorker(cut)})
-				n.serve("w3", &http.Server{Handler: newWorker(named("third"))})
-				third := newSite(n, "e3", tableOf("e3", "w3"))
+				n.serve("w2", &http.Server{Handler: newWorker(closeConnection)})
+				n.serve("w3", &http.Server{Handler: newWorker(respondWith("third"))})
+				third := newInstance(n, "e3", tableOf("e3", "w3"))
 				test.table.Peers = []route.Peer{third.peer("a", 8)}
-				second := newSite(n, "e2", test.table)
+				second := newInstance(n, "e2", test.table)
 				table := tableOf("e1")
 				table.Peers = []route.Peer{second.peer("a", 8)}
-				s := newSite(n, "e1", table)
-				a := s.ask(http.MethodPost, "load")
+				s := newInstance(n, "e1", table)
+				a := s.send(http.MethodPost, "load")
 				is.NoErr(a.err)
 				is.Equal(a.fault(), test.fault.String())
 				is.Equal(a.ran(), test.ran)
@@ -119,10 +117,9 @@
 	}
 }
 
-// Symptom: "not run" for a request that a peer may have run.
-// Sequence: the peer's refusal names a kind that stands for "not run", but
-// says that the work may have run, or nothing of it.
-// Cause: the kind was believed.
+// Guards against reporting "not run" for a request that a peer may have run: the
+// kind of the peer's refusal implies "not run", but the peer reports "may have
+// run" or nothing.
 func TestPeerMustSayNotRun(t *testing.T) {
 	for _, ran := range []string{"may-have-run", ""} {
 		synctest.Test(t, func(t *testing.T) {
@@ -130,21 +127,19 @@
 			n := newNetwork(t)
 			n.serve("e2-peer", &http.Server{Handler: newWorker(func(rw http.ResponseWriter, r *http.Request) {
 				rw.Header().Set(HeaderRan, ran)
-				refuseAs(fault.Overloaded)(rw, r)
+				refuseWith(fault.Overloaded)(rw, r)
 			})})
 			table := tableOf("e1")
-			table.Peers = []route.Peer{(&site{id: "e2"}).peer("a", 8)}
-			a := newSite(n, "e1", table).ask(http.MethodPost, "load")
+			table.Peers = []route.Peer{(&entryInstance{id: "e2"}).peer("a", 8)}
+			a := newInstance(n, "e1", table).send(http.MethodPost, "load")
 			is.NoErr(a.err)
 			is.Equal(a.ran(), "may-have-run")
 		})
 	}
 }
 
-// Symptom: a planned stop cuts off requests.
-// Sequence: an instance is told to leave while it serves a forwarded request,
-// and its caller's connection is kept open.
-// Cause: the stop waited for its own callers only, or closed their connections.
+// Guards against breaking requests in a planned stop: an instance drains while
+// it serves a forwarded request, and while callers keep connections open.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,18 +149,18 @@
 			<-busy
 			fmt.Fprint(rw, "gold")
 		})})
-		second := newSite(n, "e2", tableOf("e2", "w2"))
+		second := newInstance(n, "e2", tableOf("e2", "w2"))
 		table := tableOf("e1")
 		table.Peers = []route.Peer{second.peer("a", 8)}
-		first := newSite(n, "e1", table)
-		answers := make(chan answer, 1)
-		go func() { answers <- first.ask(http.MethodPost, "load") }()
+		first := newInstance(n, "e1", table)
+		answers := make(chan response, 1)
+		go func() { answers <- first.send(http.MethodPost, "load") }()
 		synctest.Wait()
 
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		is.True(fault.Is(second.gateway.Drain(short), fault.TimedOut))
-		a := second.ask(http.MethodPost, "load")
+		a := second.send(http.MethodPost, "load")
 		is.Equal(a.fault(), fault.Leaving.String())
 		is.Equal(a.ran(), "not-run")
 		is.True(a.closed)
--- a/gateway/publish.go
+++ b/gateway/publish.go
@@ -10,8 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// Publish makes t the table for requests from now on. The table must not be
-// changed afterwards.
+// Publish makes t the table for new requests. The table must not be changed
+// afterwards.
 func (g *Gateway) Publish(t *route.Table) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,7 +23,7 @@
 	if g.chooser == nil {
 		g.chooser = forward.New(g.seed, t.AvailabilityZone)
 	}
-	g.spreadKeys(t)
+	g.startRebalance(t)
 	g.table.Store(t)
 }
 
@@ -54,7 +54,7 @@
 	for service := range t.Services {
 		g.gate.Capacity(service, slots[service])
 	}
-	g.wake(g.gate.Admit(now))
+	g.wakeWaiters(g.gate.Admit(now))
 	g.armExpiry(now)
 }
 
@@ -72,24 +72,24 @@
 	}
 }
 
-// pruneConduits drops the connections to servers that t doesn't name. Those
-// with requests in flight stay until a later table: their server may come
-// back, and its bound on connections counts them.
+// pruneConduits closes the idle connections to servers that t doesn't list. A
+// conduit with requests in flight stays until a later table: its server may be
+// listed again, and these connections count towards the bound for the server.
 func (g *Gateway) pruneConduits(t *route.Table) {
-	named := make(map[string]bool)
+	inUse := make(map[string]bool)
 	for _, backends := range t.Backends {
 		for _, backend := range backends {
-			named[backend.Address] = true
+			inUse[backend.Address] = true
 		}
 	}
 	for _, peer := range t.Peers {
-		named[peer.Address] = true
+		inUse[peer.Address] = true
 	}
 	for address, c := range g.conduits {
-		if named[address] {
+		if inUse[address] {
 			continue
 		}
-		c.Renew()
+		c.CloseIdleConnections()
 		if c.Open() == 0 {
 			delete(g.conduits, address)
 		}
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -14,13 +14,13 @@
 type refusal struct {
 	Fault   string `json:"fault"`
 	Ran     string `json:"ran"`
-	Retry   int64  `json:"retry"` // milliseconds, zero when a repeat is of no use
+	Retry   int64  `json:"retry"` // milliseconds, zero when a retry is useless
 	Message string `json:"message"`
 }
 
-// refuse answers with a fault.
+// refuse responds with a fault.
 func (g *Gateway) refuse(w http.ResponseWriter, err *fault.Error) {
-	g.counts.refuse(err.Kind)
+	g.counters.countRefusal(err.Kind)
 	answer := err.Answer()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -30,7 +30,7 @@
 		h.Set("Connection", "close")
 	}
 	if answer.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatInt(seconds(answer.RetryAfter), 10))
+		h.Set("Retry-After", strconv.FormatInt(ceilSeconds(answer.RetryAfter), 10))
 		h.Set(HeaderRetryAfter, formatMillis(answer.RetryAfter))
 	}
 	w.WriteHeader(answer.Status)
@@ -42,12 +42,13 @@
 	})
 }
 
-// seconds rounds d up to whole seconds, at least 1.
-func seconds(d time.Duration) int64 {
+// ceilSeconds rounds d up to whole seconds, at least 1.
+func ceilSeconds(d time.Duration) int64 {
 	return max(int64((d+time.Second-1)/time.Second), 1)
 }
 
-// readRefusal returns the fault that an answer reports, nil when it reports none.
+// readRefusal returns the fault that a response reports, nil when it reports
+// none.
 func readRefusal(resp *http.Response) *fault.Error {
 	name := resp.Header.Get(HeaderFault)
 	if name == "" {
@@ -58,11 +59,11 @@
 		return fault.New(fault.MayHaveRun, "unknown fault %q", name)
 	}
 	err := fault.New(kind, "refused by %s", resp.Request.URL.Host)
-	if after, bad := parseMillis(resp.Header.Get(HeaderRetryAfter), maxRetryAfter); bad == nil && after > 0 {
+	if after, parseErr := parseMillis(resp.Header.Get(HeaderRetryAfter), maxRetryAfter); parseErr == nil && after > 0 {
 		err = err.After(after)
 	}
 	return err
 }
 
-// maxRetryAfter bounds what a worker or peer may ask of a caller.
+// maxRetryAfter bounds the retry delay that a worker or peer may request.
 const maxRetryAfter = time.Minute
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -11,28 +11,29 @@
 
 // Bounds of the latency histograms, in units of latencyUnit.
 const (
-	latencyUnit    = 10 * time.Microsecond
-	latencyMax     = 10 * time.Minute
-	latencyFigures = 1
-	latencyWindow  = 10 * time.Second
+	latencyUnit   = 10 * time.Microsecond
+	maxLatency    = 10 * time.Minute
+	latencyDigits = 1
+	latencyWindow = 10 * time.Second
 
-	usualSamples  = 50
-	usualQuantile = 99
+	minP99Samples = 50
+	p99Quantile   = 99
 )
 
-// Report holds counters since the start, and the latencies of late.
+// Report holds the counters since the start, the current gauges and the recent
+// latencies.
 type Report struct {
-	Answered    uint64 // whole answers passed
+	Answered    uint64 // complete responses relayed
 	Refused     map[fault.Kind]uint64
 	Retries     uint64
-	Unbudgeted  uint64 // retries that the budget refused
+	Unbudgeted  uint64 // retries denied by the budget
 	Forwards    uint64
-	Dropped     uint64 // answers that belonged to another request, or to none
-	Truncated   uint64 // answers that ended early
-	Silent      uint64 // connections given up as silent
+	Dropped     uint64 // responses that belonged to another request, or to none
+	Truncated   uint64 // responses that ended early
+	Silent      uint64 // connections closed as silent
 	Probes      uint64
 	Lapsed      uint64 // attempts stopped by a lapsed lease
-	Abandoned   uint64 // callers that went away
+	Abandoned   uint64 // callers that disconnected
 	InFlight    int
 	Waiting     int
 	Keys        int
@@ -40,10 +41,10 @@
 	Services    map[string]Latency
 }
 
-// Latency is what the answers to one service took, from the attempt's start
-// to the first bytes (to the last for a short answer).
+// Latency summarizes the latency of one service's responses, from the start of
+// the attempt to the first bytes (to the last byte for a short response).
 type Latency struct {
-	Window  uint64 // answers in the last one to two windows of ten seconds
+	Window  uint64 // responses in the last 10 to 20 seconds
 	Mean    time.Duration
 	P50     time.Duration
 	P99     time.Duration
@@ -51,43 +52,44 @@
 	Workers map[string]Sum // since the start
 }
 
-// Sum adds up latencies.
+// Sum is the number and the total of latencies.
 type Sum struct {
 	Count uint64
 	Total time.Duration
 }
 
-// counts are the counters of a Report.
-type counts struct {
+// counters are the counters of a Report.
+type counters struct {
 	answered, retries, unbudgeted, forwards atomic.Uint64
 	dropped, truncated, silent, probes      atomic.Uint64
 	lapsed, abandoned                       atomic.Uint64
 	refused                                 [fault.TooLarge + 1]atomic.Uint64
 }
 
-func (c *counts) refuse(k fault.Kind) {
+func (c *counters) countRefusal(k fault.Kind) {
 	if k < 0 || int(k) >= len(c.refused) {
 		k = fault.Internal
 	}
 	c.refused[k].Add(1)
 }
 
-// latency collects the latencies of one service in two windows that take turns.
+// latency records the latencies of one service in two alternating windows.
 type latency struct {
-	now, before *hdrhistogram.Histogram
-	since       time.Time // when now began
-	workers     map[string]Sum
+	current, previous *hdrhistogram.Histogram
+	windowStart       time.Time
+	workers           map[string]Sum
 }
 
-// latencyOf returns the latencies of a service; g.mu is held.
+// latencyOf returns the latencies of a service, creating them on first use.
+// g.mu is held.
 func (g *Gateway) latencyOf(service string) *latency {
 	l, ok := g.latencies[service]
 	if !ok {
 		l = &latency{
-			now:     newHistogram(),
-			before:  newHistogram(),
-			since:   time.Now(),
-			workers: make(map[string]Sum),
+			current:     newHistogram(),
+			previous:    newHistogram(),
+			windowStart: time.Now(),
+			workers:     make(map[string]Sum),
 		}
 		g.latencies[service] = l
 	}
@@ -95,59 +97,59 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(latencyMax/latencyUnit), latencyFigures)
+	return hdrhistogram.New(1, int64(maxLatency/latencyUnit), latencyDigits)
 }
 
-// add notes an attempt that was answered.
-func (l *latency) add(worker string, o outcome) {
-	if !o.done || (o.result != balancer.OK && o.result != balancer.Failed) {
+// record adds the latency of an answered attempt.
+func (l *latency) record(worker string, o outcome) {
+	if !o.relayed || (o.result != balancer.OK && o.result != balancer.Failed) {
 		return
 	}
-	l.turn(time.Now())
-	_ = l.now.RecordValue(int64(min(o.latency, latencyMax) / latencyUnit))
+	l.rotate(time.Now())
+	_ = l.current.RecordValue(int64(min(o.latency, maxLatency) / latencyUnit))
 	sum := l.workers[worker]
 	sum.Count++
 	sum.Total += o.latency
 	l.workers[worker] = sum
 }
 
-// turn starts a new window when the present one is over.
-func (l *latency) turn(now time.Time) {
-	age := now.Sub(l.since)
+// rotate starts a new window when the current one is over.
+func (l *latency) rotate(now time.Time) {
+	age := now.Sub(l.windowStart)
 	if age < latencyWindow {
 		return
 	}
-	l.now, l.before = l.before, l.now
-	l.now.Reset()
+	l.current, l.previous = l.previous, l.current
+	l.current.Reset()
 	if age >= 2*latencyWindow {
-		l.before.Reset()
+		l.previous.Reset()
 	}
-	l.since = now
+	l.windowStart = now
 }
 
-// usualLatency returns the latency that few answers of a service exceed, and
-// zero when too few are known.
-func (g *Gateway) usualLatency(service string) time.Duration {
+// p99Latency returns the 99th percentile of a service's recent latencies, and
+// zero when there are too few samples.
+func (g *Gateway) p99Latency(service string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l, ok := g.latencies[service]
 	if !ok {
 		return 0
 	}
-	l.turn(time.Now())
-	if l.now.TotalCount()+l.before.TotalCount() < usualSamples {
+	l.rotate(time.Now())
+	if l.current.TotalCount()+l.previous.TotalCount() < minP99Samples {
 		return 0
 	}
-	slow := max(l.now.ValueAtQuantile(usualQuantile), l.before.ValueAtQuantile(usualQuantile))
-	return time.Duration(slow) * latencyUnit
+	p99 := max(l.current.ValueAtQuantile(p99Quantile), l.previous.ValueAtQuantile(p99Quantile))
+	return time.Duration(p99) * latencyUnit
 }
 
-// report returns a copy of the latencies.
+// report summarizes the latencies of both windows.
 func (l *latency) report(now time.Time) Latency {
-	l.turn(now)
+	l.rotate(now)
 	all := newHistogram()
-	all.Merge(l.before)
-	all.Merge(l.now)
+	all.Merge(l.previous)
+	all.Merge(l.current)
 	r := Latency{
 		Window:  uint64(all.TotalCount()),
 		Mean:    time.Duration(all.Mean() * float64(latencyUnit)),
@@ -164,7 +166,7 @@
 
 // Report returns the counters and latencies.
 func (g *Gateway) Report() Report {
-	r := g.counts.report()
+	r := g.counters.report()
 	r.Keys = g.keys.len()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,7 +184,7 @@
 	return r
 }
 
-func (c *counts) report() Report {
+func (c *counters) report() Report {
 	r := Report{
 		Answered:   c.answered.Load(),
 		Refused:    make(map[fault.Kind]uint64),
--- a/gateway/retry_test.go
+++ b/gateway/retry_test.go
@@ -11,13 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a payment is made twice though no retry was counted.
-// Sequence: a connection is used once and kept; the worker takes the second
-// request from it, runs it, and closes the connection without an answer, as a
-// keep-alive timeout at the wrong moment would.
-// Cause: net/http's Transport sends a request again on a new connection when
-// it deems it replayable: bodiless ones of any method with an
-// Idempotency-Key among them.
+// Guards against hidden retries by net/http's Transport. A worker runs the
+// second request on a kept connection and closes it without a response, as a
+// keep-alive timeout at the wrong moment would. Transport then resends requests
+// that it considers replayable, such as bodiless ones with an Idempotency-Key.
 func TestReusedConnectionThatDies(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -47,33 +44,32 @@
 					w.run(r)
 					if closing {
 						closing = false
-						cut(rw, r)
+						closeConnection(rw, r)
 					}
 				}
 				n.serve("w1", &http.Server{Handler: w})
-				s := newSite(n, "e1", tableOf("e1", "w1"))
-				is.Equal(s.ask(test.method, test.body).status, http.StatusOK)
-				before := w.total()
+				s := newInstance(n, "e1", tableOf("e1", "w1"))
+				is.Equal(s.send(test.method, test.body).status, http.StatusOK)
+				before := w.totalRuns()
 				closing = true
-				a := s.ask(test.method, test.body, test.header...)
+				a := s.send(test.method, test.body, test.header...)
 				is.NoErr(a.err)
 				is.Equal(a.fault(), test.fault)
-				is.Equal(w.total()-before, test.runs)
+				is.Equal(w.totalRuns()-before, test.runs)
 				is.Equal(s.gateway.Report().Retries, uint64(test.runs-1))
 			})
 		})
 	}
 }
 
-// Symptom: a request fails though another replica would have served it.
-// Sequence: the first worker refuses, in one way or another, before it ran.
-// Cause: the refusal was passed on although nothing forbade a second try.
+// Guards against relaying a refusal although the request did not run and
+// another replica can serve it. The first worker refuses in each possible way.
 func TestNotRunIsTriedElsewhere(t *testing.T) {
 	refusals := []http.HandlerFunc{
 		nil, // the connection is refused
-		refuseAs(fault.StaleEpoch),
-		refuseAs(fault.Overloaded),
-		refuseAs(fault.NotFound),
+		refuseWith(fault.StaleEpoch),
+		refuseWith(fault.Overloaded),
+		refuseWith(fault.NotFound),
 	}
 	for _, refusal := range refusals {
 		synctest.Test(t, func(t *testing.T) {
@@ -93,35 +89,33 @@
 					refusal(rw, r)
 				})})
 			}
-			s := newSite(n, "e1", tableOf("e1", "w1"))
-			a := s.ask(http.MethodPost, "load")
+			s := newInstance(n, "e1", tableOf("e1", "w1"))
+			a := s.send(http.MethodPost, "load")
 			is.NoErr(a.err)
 			is.Equal(a.ran(), "not-run")
-			is.True(refused <= 1) // not asked again at once
+			is.True(refused <= 1) // not retried at the same worker
 
 			s.gateway.Publish(tableOf("e1", "w1", "w2"))
 			for range 4 {
-				a = s.ask(http.MethodPost, "load")
+				a = s.send(http.MethodPost, "load")
 				if a.fault() == "" {
 					is.Equal(a.body, "load")
 				}
 			}
-			is.Equal(good.total(), 4)
+			is.Equal(good.totalRuns(), 4)
 		})
 	}
 }
 
-func refuseAs(kind fault.Kind) http.HandlerFunc {
+func refuseWith(kind fault.Kind) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(HeaderFault, kind.String())
 		rw.WriteHeader(kind.Answer().Status)
 	}
 }
 
-// Symptom: "not run" for a request that ran.
-// Sequence: an idempotent request runs at one worker, whose connection fails;
-// the second worker refuses it.
-// Cause: the last attempt's refusal was taken for the whole request's.
+// Guards against reporting "not run" for a request that may have run: the
+// connection fails during the first attempt, and the second worker refuses.
 func TestRefusalAfterALostAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -130,14 +124,14 @@
 		w := newWorker(func(rw http.ResponseWriter, r *http.Request) {
 			tries++
 			if tries == 1 {
-				cut(rw, r)
+				closeConnection(rw, r)
 			}
-			refuseAs(fault.Overloaded)(rw, r)
+			refuseWith(fault.Overloaded)(rw, r)
 		})
 		n.serve("w1", &http.Server{Handler: w})
 		n.serve("w2", &http.Server{Handler: w})
-		s := newSite(n, "e1", tableOf("e1", "w1", "w2"))
-		a := s.ask(http.MethodGet, "")
+		s := newInstance(n, "e1", tableOf("e1", "w1", "w2"))
+		a := s.send(http.MethodGet, "")
 		is.NoErr(a.err)
 		is.Equal(tries, 2)
 		is.Equal(a.fault(), fault.MayHaveRun.String())
@@ -145,9 +139,8 @@
 	})
 }
 
-// Symptom: the second worker gets the second half of an upload.
-// Sequence: a body too long to keep is on its way when the worker fails.
-// Cause: the request was sent again from where the body was.
+// Guards against sending the rest of a streamed body to a second worker: the
+// first worker fails in the middle of a body that is too long to buffer.
 func TestStreamedBodyIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -156,21 +149,20 @@
 		w := newWorker(func(rw http.ResponseWriter, r *http.Request) {
 			tries++
 			io.CopyN(io.Discard, r.Body, 4)
-			cut(rw, r)
+			closeConnection(rw, r)
 		})
 		n.serve("w1", &http.Server{Handler: w})
 		n.serve("w2", &http.Server{Handler: w})
-		s := newSite(n, "e1", tableOf("e1", "w1", "w2"), WithReplayBytes(8))
-		a := s.ask(http.MethodPut, fmt.Sprintf("%4096d", 1))
+		s := newInstance(n, "e1", tableOf("e1", "w1", "w2"), WithMaxReplayBytes(8))
+		a := s.send(http.MethodPut, fmt.Sprintf("%4096d", 1))
 		is.NoErr(a.err)
 		is.Equal(a.fault(), fault.Broken.String())
 		is.Equal(tries, 1)
 	})
 }
 
-// Symptom: in an outage the load on the workers doubles.
-// Sequence: every attempt fails; each request is tried again.
-// Cause: retries without a budget.
+// Guards against retries that multiply the load during an outage: every attempt
+// fails.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -178,17 +170,17 @@
 		tries := 0
 		w := newWorker(func(rw http.ResponseWriter, r *http.Request) {
 			tries++
-			cut(rw, r)
+			closeConnection(rw, r)
 		})
 		for _, address := range []string{"w1", "w2", "w3"} {
 			n.serve(address, &http.Server{Handler: w})
 		}
-		s := newSite(n, "e1", tableOf("e1", "w1", "w2", "w3"))
-		const asked = 40
-		for range asked {
-			s.ask(http.MethodGet, "")
+		s := newInstance(n, "e1", tableOf("e1", "w1", "w2", "w3"))
+		const requestCount = 40
+		for range requestCount {
+			s.send(http.MethodGet, "")
 		}
-		is.True(tries <= asked+asked/10+1)
+		is.True(tries <= requestCount+requestCount/10+1)
 		is.True(s.gateway.Report().Unbudgeted > 0)
 	})
 }
--- a/gateway/schedule_test.go
+++ b/gateway/schedule_test.go
@@ -13,125 +13,125 @@
 	"pgregory.net/rapid"
 )
 
-const schedules = 2500
+const scheduleCount = 2500
 
-// mishap is what happens to one request at a worker.
-type mishap int
+// injectedFault is a fault that a worker injects into one request.
+type injectedFault int
 
 const (
-	none           mishap = iota
-	refuse                // refused by the worker
-	stale                 // refused for its epoch
-	closeBefore           // the connection is closed, nothing ran
-	closeAfter            // it ran, and the connection is closed
-	truncate              // it ran, and half of the answer is sent
-	truncateChunks        // the same without a length
-	wrongEcho             // it ran, and the answer is another request's
-	silent                // it ran, and no answer comes
-	silentBefore          // nothing ran, and no answer comes
-	silenceLinks          // the open connections to the worker go silent
-	refuseConnects        // new connections are refused from now on
-	mishaps
+	noFault            injectedFault = iota
+	refuseOverloaded                 // refuse as overloaded
+	refuseStaleEpoch                 // refuse for a stale epoch
+	closeBefore                      // close the connection without running the request
+	closeAfter                       // run the request and close the connection
+	truncate                         // run the request and send half of the response
+	truncateChunks                   // the same with a chunked response
+	wrongEcho                        // run the request and echo the id of another one
+	runWithoutResponse               // run the request and don't respond
+	noResponse                       // neither run the request nor respond
+	silenceConns                     // silence the open connections to the worker
+	refuseConns                      // refuse new connections from now on
+	numInjectedFaults
 )
 
-// script hands out the mishaps of one schedule, in the order of arrival.
-type script struct {
-	mu      sync.Mutex
-	left    []mishap
-	network *network
-	idle    chan struct{} // closed when the schedule is over
+// faultScript assigns the faults of one schedule to requests in the order of
+// arrival.
+type faultScript struct {
+	mu        sync.Mutex
+	remaining []injectedFault
+	network   *network
+	done      chan struct{} // closed when the schedule is over
 }
 
-func (s *script) next() mishap {
+func (s *faultScript) next() injectedFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.left) == 0 {
-		return none
+	if len(s.remaining) == 0 {
+		return noFault
 	}
-	m := s.left[0]
-	s.left = s.left[1:]
-	return m
+	f := s.remaining[0]
+	s.remaining = s.remaining[1:]
+	return f
 }
 
-// handler lets the next mishap happen.
-func (s *script) handler(w *worker, address string) http.HandlerFunc {
+// handler returns the handler of the worker at address. It injects the next
+// fault into each request and records the runs in w.
+func (s *faultScript) handler(w *worker, address string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
-		m := s.next()
-		switch m {
-		case refuse:
-			refuseAs(fault.Overloaded)(rw, r)
+		f := s.next()
+		switch f {
+		case refuseOverloaded:
+			refuseWith(fault.Overloaded)(rw, r)
 			return
-		case stale:
-			refuseAs(fault.StaleEpoch)(rw, r)
+		case refuseStaleEpoch:
+			refuseWith(fault.StaleEpoch)(rw, r)
 			return
 		case closeBefore:
-			cut(rw, r)
-		case silentBefore:
-			<-s.idle
-			cut(rw, r)
-		case silenceLinks:
+			closeConnection(rw, r)
+		case noResponse:
+			<-s.done
+			closeConnection(rw, r)
+		case silenceConns:
 			s.network.silence(address)
-		case refuseConnects:
+		case refuseConns:
 			s.network.remove(address)
 		}
 		w.run(r)
-		switch m {
+		switch f {
 		case closeAfter:
-			cut(rw, r)
+			closeConnection(rw, r)
 		case truncate:
 			rw.Header().Set("Content-Length", "8")
 			fmt.Fprint(rw, "gold")
-			cut(rw, r)
+			closeConnection(rw, r)
 		case truncateChunks:
 			fmt.Fprint(rw, "gold")
 			rw.(http.Flusher).Flush()
-			cut(rw, r)
+			closeConnection(rw, r)
 		case wrongEcho:
 			rw.Header().Set(HeaderRequest, "another")
-		case silent:
-			<-s.idle
-			cut(rw, r)
+		case runWithoutResponse:
+			<-s.done
+			closeConnection(rw, r)
 		}
 		fmt.Fprint(rw, "gold")
 	}
 }
 
-// Symptom: a request that must run at most once ran twice, or one that was
-// refused as not run did run.
-// Sequence: any of requests at two entry instances, with any mishaps at three
-// workers, at any times.
-// Cause: a rule of repeats that some order of faults breaks.
+// Guards against orders of faults in which a non-idempotent request runs twice,
+// or a request that is refused as not run did run. Random requests arrive at
+// two entry instances, with random faults at three workers.
 func TestFaultSchedules(t *testing.T) {
 	flag.Set("rapid.seed", "20")
-	flag.Set("rapid.checks", fmt.Sprint(schedules))
+	flag.Set("rapid.checks", fmt.Sprint(scheduleCount))
 	flag.Set("rapid.nofailfile", "true")
 	var counts struct{ schedules, requests, refused, broken, aborted, whole, retries, duplicates uint64 }
 	rapid.Check(t, func(rt *rapid.T) {
 		rapid.SyncTest(rt, func(rt *rapid.T) {
 			n := newNetwork(t)
-			n.quit = rt.Cleanup
+			n.cleanup = rt.Cleanup
 			w := newWorker(nil)
 			w.running = rapid.SampledFrom([]string{"", "false"}).Draw(rt, "running")
-			drawn := rapid.SliceOfN(rapid.IntRange(0, int(mishaps)-1), 0, 12).Draw(rt, "mishaps")
-			s := &script{network: n, idle: make(chan struct{})}
-			for _, m := range drawn {
-				s.left = append(s.left, mishap(m))
+			faults := rapid.SliceOfN(rapid.IntRange(0, int(numInjectedFaults)-1), 0, 12).Draw(rt, "faults")
+			s := &faultScript{network: n, done: make(chan struct{})}
+			for _, m := range faults {
+				s.remaining = append(s.remaining, injectedFault(m))
 			}
-			rt.Cleanup(func() { close(s.idle) })
-			sites := scheduleSites(n, s, w)
+			rt.Cleanup(func() { close(s.done) })
+			instances := scheduleInstances(n, s, w)
 			requests := rapid.IntRange(1, 10).Draw(rt, "requests")
-			var asking sync.WaitGroup
+			var calls sync.WaitGroup
 			for i := range requests {
 				method := rapid.SampledFrom([]string{http.MethodPost, http.MethodPost, http.MethodGet, http.MethodPut}).Draw(rt, "method")
-				at := sites[rapid.IntRange(0, 1).Draw(rt, "site")]
+				instance := instances[rapid.IntRange(0, 1).Draw(rt, "site")]
 				body := rapid.SampledFrom([]string{"", "load"}).Draw(rt, "body")
 				var header []string
 				if rapid.Bool().Draw(rt, "keyed") {
 					header = []string{HeaderKey, fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "key"))}
 				}
-				asking.Go(func() {
-					a := at.ask(method, body, header...)
-					if problem := w.judge(method, a); problem != "" {
+				calls.Go(func() {
+					a := instance.send(method, body, header...)
+					if problem := w.checkResponse(method, a); problem != "" {
 						rt.Errorf("request %d: %s", i, problem)
 					}
 					w.mu.Lock()
@@ -151,15 +151,15 @@
 				})
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{0, 1, 700, 6000}).Draw(rt, "pause")) * time.Millisecond)
 			}
-			asking.Wait()
+			calls.Wait()
 			synctest.Wait()
-			for _, site := range sites {
-				counts.retries += site.gateway.Report().Retries
-				if left := site.gateway.Report().InFlight; left != 0 {
-					rt.Errorf("%d requests left in flight", left)
+			for _, instance := range instances {
+				counts.retries += instance.gateway.Report().Retries
+				if inFlight := instance.gateway.Report().InFlight; inFlight != 0 {
+					rt.Errorf("%d requests left in flight", inFlight)
 				}
 			}
-			w.judgeAll(rt)
+			w.checkRuns(rt)
 			counts.schedules++
 			counts.requests += uint64(requests)
 		})
@@ -167,9 +167,9 @@
 	t.Logf("%+v", counts)
 }
 
-// scheduleSites starts two entry instances. The first has two workers and
-// the second one; each forwards to the other.
-func scheduleSites(n *network, s *script, w *worker) []*site {
+// scheduleInstances starts two entry instances that forward to each other. The
+// first has two workers, the second has one.
+func scheduleInstances(n *network, s *faultScript, w *worker) []*entryInstance {
 	for _, address := range []string{"w1", "w2", "w3"} {
 		scripted := *newWorker(nil)
 		scripted.handler = s.handler(w, address)
@@ -177,19 +177,20 @@
 		n.serve(address, &http.Server{Handler: &scripted})
 	}
 	first, second := tableOf("e1", "w1", "w2"), tableOf("e2", "w3")
-	sites := []*site{newSite(n, "e1", first), newSite(n, "e2", second)}
+	instances := []*entryInstance{newInstance(n, "e1", first), newInstance(n, "e2", second)}
 	first, second = tableOf("e1", "w1", "w2"), tableOf("e2", "w3")
-	first.Peers = append(first.Peers, sites[1].peer("a", 8))
-	second.Peers = append(second.Peers, sites[0].peer("b", 8))
-	first.Backends["price"][0].Slots = 1 // soon full, so that it forwards
+	first.Peers = append(first.Peers, instances[1].peer("a", 8))
+	second.Peers = append(second.Peers, instances[0].peer("b", 8))
+	first.Backends["price"][0].Slots = 1 // so that the first instance forwards
 	first.Backends["price"][1].Slots = 1
-	sites[0].gateway.Publish(first)
-	sites[1].gateway.Publish(second)
-	return sites
+	instances[0].gateway.Publish(first)
+	instances[1].gateway.Publish(second)
+	return instances
 }
 
-// judge compares an answer with what ran.
-func (w *worker) judge(method string, a answer) string {
+// checkResponse compares a response with the runs of its request. It returns
+// the violation, or an empty string.
+func (w *worker) checkResponse(method string, a response) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.err != nil {
@@ -212,16 +213,16 @@
 	return ""
 }
 
-// judgeAll checks what ran over the whole schedule.
-func (w *worker) judgeAll(rt *rapid.T) {
+// checkRuns checks the runs of the whole schedule.
+func (w *worker) checkRuns(rt *rapid.T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, runs := range w.posts {
+	for id, runs := range w.nonIdempotentRuns {
 		if runs > 1 {
 			rt.Errorf("request %s ran %d times", id, runs)
 		}
 	}
-	for key, runs := range w.keys {
+	for key, runs := range w.keyRuns {
 		if runs > 1 {
 			rt.Errorf("key %s ran %d times", key, runs)
 		}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -9,10 +9,11 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// overloadRetry is when to come back where no queue tells.
-const overloadRetry = 250 * time.Millisecond
+// overloadRetryAfter is the retry delay of overload refusals that don't come
+// from a queue.
+const overloadRetryAfter = 250 * time.Millisecond
 
-// serve answers one request.
+// serve handles one request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, service string, hops int) {
 	c, err := g.newCall(w, r, service, hops)
 	if c != nil {
@@ -29,44 +30,44 @@
 	g.finish(c, g.run(c))
 }
 
-// ending is how a call ended.
-type ending struct {
-	err   *fault.Error // to be answered, nil when an answer was passed
+// callResult is the result of a call.
+type callResult struct {
+	err   *fault.Error // to refuse with, nil when a response was relayed
 	abort bool         // the caller's connection must be closed
 }
 
-// finish answers the caller unless an answer was passed.
-func (g *Gateway) finish(c *call, e ending) {
-	if e.abort {
+// finish refuses the call, unless a response was relayed.
+func (g *Gateway) finish(c *call, result callResult) {
+	if result.abort {
 		panic(http.ErrAbortHandler)
 	}
-	if e.err != nil {
-		g.tellFree(c, c.w.Header())
-		g.refuse(c.w, e.err)
+	if result.err != nil {
+		g.setFreeHeader(c, c.w.Header())
+		g.refuse(c.w, result.err)
 		return
 	}
-	g.counts.answered.Add(1)
+	g.counters.answered.Add(1)
 }
 
-// begin counts the call in, unless the instance is shutting down or full.
+// begin registers the call, unless the instance is shutting down or full.
 func (g *Gateway) begin(c *call) *fault.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.draining || c.table.Leaving {
 		return fault.New(fault.Leaving, "the instance is shutting down")
 	}
-	if len(g.calls) >= g.requests {
-		return fault.New(fault.Overloaded, "too many requests in flight").After(overloadRetry)
+	if len(g.calls) >= g.maxRequests {
+		return fault.New(fault.Overloaded, "too many requests in flight").After(overloadRetryAfter)
 	}
 	g.calls[c] = struct{}{}
 	c.ctx, c.cancel = context.WithDeadline(c.r.Context(), c.deadline)
 	return nil
 }
 
-// end counts the call out.
+// end removes the call.
 func (g *Gateway) end(c *call) {
 	c.cancel()
-	g.release(c.body)
+	g.releaseBody(c.body)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.calls, c)
@@ -75,111 +76,112 @@
 	}
 }
 
-// run takes the call to a worker or a peer and passes the answer.
-func (g *Gateway) run(c *call) ending {
+// run dispatches the call to a worker or a peer and relays the response.
+func (g *Gateway) run(c *call) callResult {
 	if err := g.readBody(c); err != nil {
-		return g.giveUp(c, err)
+		return g.failCall(c, err)
 	}
-	o := g.route(c)
+	o := g.dispatch(c)
 	if o.err == nil {
-		return o.ending
+		return o.callResult
 	}
-	return g.giveUp(c, o.err)
+	return g.failCall(c, o.err)
 }
 
-// route sends the call to a peer when this instance has no free slot for it
-// and a peer has, and else to the own workers.
-func (g *Gateway) route(c *call) outcome {
-	here := g.replicas(c)
-	if here.free > 0 {
-		return g.tryHere(c)
+// dispatch sends the call to a peer when this instance has no free slot for it
+// and a peer has one, else to the own workers.
+func (g *Gateway) dispatch(c *call) outcome {
+	local := g.serviceCapacity(c)
+	if local.free > 0 {
+		return g.tryLocal(c)
 	}
-	o, asked := g.tryPeer(c)
-	if asked && (o.done || here.slots == 0 || !g.mayRepeat(c, o)) {
+	o, forwarded := g.tryPeer(c)
+	if forwarded && (o.relayed || local.slots == 0 || !g.canRetry(c, o)) {
 		return o
 	}
-	if here.slots == 0 {
-		return failed(fault.New(fault.NoWorker, "no replica of %q", c.service.Name), balancer.Refused)
+	if local.slots == 0 {
+		return failedOutcome(fault.New(fault.NoWorker, "no replica of %q", c.service.Name), balancer.Refused)
 	}
-	return g.tryHere(c)
+	return g.tryLocal(c)
 }
 
-// tryPeer forwards the call once, if there is a peer worth asking.
+// tryPeer forwards the call once. It reports false when there is no suitable
+// peer.
 func (g *Gateway) tryPeer(c *call) (outcome, bool) {
 	t, ok := g.pickPeer(c)
 	if !ok {
 		return outcome{}, false
 	}
-	if err := g.claim(c); err != nil {
-		return outcome{ending: ending{err: err}, final: true}, true
+	if err := g.claimKey(c); err != nil {
+		return outcome{callResult: callResult{err: err}, final: true}, true
 	}
-	g.firstTry(c)
+	g.countFirstAttempt(c)
 	return g.try(c, t), true
 }
 
-// tryHere sends the call to the own workers, or to a peer when the gate has
-// no room.
-func (g *Gateway) tryHere(c *call) outcome {
-	ticket, err := g.enter(c)
+// tryLocal sends the call to the own workers, or to a peer when the gate is
+// overloaded.
+func (g *Gateway) tryLocal(c *call) outcome {
+	ticket, err := g.acquireSlot(c)
 	if err != nil {
-		o := failed(err, balancer.Refused)
+		o := failedOutcome(err, balancer.Refused)
 		if err.Kind != fault.Overloaded || c.attempts > 0 {
 			return o
 		}
-		if elsewhere, asked := g.tryPeer(c); asked {
-			return elsewhere
+		if peerOutcome, forwarded := g.tryPeer(c); forwarded {
+			return peerOutcome
 		}
 		return o
 	}
-	if err := g.claim(c); err != nil {
-		g.quit(ticket)
-		return outcome{ending: ending{err: err}, final: true}
+	if err := g.claimKey(c); err != nil {
+		g.abandonSlot(ticket)
+		return outcome{callResult: callResult{err: err}, final: true}
 	}
-	g.firstTry(c)
-	o, held := g.tryAll(c)
-	if c.gone() || o.tellsNothing() {
-		g.quit(ticket)
+	g.countFirstAttempt(c)
+	o, duration := g.tryAll(c)
+	if c.isCallerGone() || o.isNoLoadSample() {
+		g.abandonSlot(ticket)
 		return o
 	}
-	g.exit(ticket, held, o.done && !o.abort)
+	g.releaseSlot(ticket, duration, o.relayed && !o.abort)
 	return o
 }
 
-// tryAll tries one worker after the other, then a peer, until an answer was
-// passed or the call must not be sent again. It returns the last outcome and
-// how long the workers took for all.
-func (g *Gateway) tryAll(c *call) (last outcome, held time.Duration) {
+// tryAll tries one worker after the other, then a peer, until a response was
+// relayed or the call must not be retried. It returns the last outcome and the
+// total time that the targets took.
+func (g *Gateway) tryAll(c *call) (last outcome, duration time.Duration) {
 	for first := true; ; first = false {
 		if !first && !g.takeRetry(c) {
-			return last, held
+			return last, duration
 		}
-		t, ok := g.pick(c)
+		t, ok := g.pickTarget(c)
 		if !ok {
-			return last.or(fault.New(fault.Overloaded, "every replica is busy").After(overloadRetry)), held
+			return last.orFault(fault.New(fault.Overloaded, "every replica is busy").After(overloadRetryAfter)), duration
 		}
 		last = g.try(c, t)
-		held += max(last.held, last.latency)
-		if last.done || !g.mayRepeat(c, last) || c.attempts >= g.attempts {
-			return last, held
+		duration += max(last.workerTime, last.latency)
+		if last.relayed || !g.canRetry(c, last) || c.attempts >= g.maxAttempts {
+			return last, duration
 		}
 	}
 }
 
-// pick chooses an own worker that wasn't tried, or else a peer, or else a
-// worker to which only the connection failed.
-func (g *Gateway) pick(c *call) (*target, bool) {
-	if t, ok := g.pickWorker(c, c.skip); ok {
+// pickTarget chooses an own worker that wasn't tried, else a peer, else a worker
+// that was tried but did not refuse the call.
+func (g *Gateway) pickTarget(c *call) (*target, bool) {
+	if t, ok := g.pickWorker(c, c.wasTried); ok {
 		return t, true
 	}
 	if t, ok := g.pickPeer(c); ok {
 		return t, true
 	}
-	return g.pickWorker(c, c.hasRefused)
+	return g.pickWorker(c, c.wasRefusedBy)
 }
 
-// firstTry counts a request in the service's retry budget. A forwarded one
-// was counted where it came from.
-func (g *Gateway) firstTry(c *call) {
+// countFirstAttempt credits a request to the service's retry budget. A
+// forwarded request was counted by the instance that forwarded it.
+func (g *Gateway) countFirstAttempt(c *call) {
 	if c.hops > 0 || c.attempts > 0 {
 		return
 	}
@@ -190,42 +192,43 @@
 	}
 }
 
-// takeRetry takes a retry from the service's budget.
+// takeRetry withdraws a retry from the service's budget.
 func (g *Gateway) takeRetry(c *call) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b, ok := g.budgets[c.service.Name]
 	if !ok || !b.Take(time.Now()) {
-		g.counts.unbudgeted.Add(1)
+		g.counters.unbudgeted.Add(1)
 		return false
 	}
-	g.counts.retries.Add(1)
+	g.counters.retries.Add(1)
 	return true
 }
 
-// mayRepeat reports whether the call may be sent once more after o.
-func (g *Gateway) mayRepeat(c *call, o outcome) bool {
-	if o.final || !c.body.replayable() || c.expired() || c.ctx.Err() != nil {
+// canRetry reports whether the call may be sent again after o.
+func (g *Gateway) canRetry(c *call, o outcome) bool {
+	if o.final || !c.body.isReplayable() || c.isExpired() || c.ctx.Err() != nil {
 		return false
 	}
 	return c.idempotent || o.err.Answer().Ran == fault.NotRun
 }
 
-// giveUp turns the last error into what is true of the whole call, and frees
-// its key when the work did not run.
-func (g *Gateway) giveUp(c *call, err *fault.Error) ending {
-	// An idempotent request can fail unanswered at one worker and be refused
-	// by the next. Passing on the second refusal would tell the caller that
-	// the work did not run while it may have.
-	if c.mayRun && err.Answer().Ran == fault.NotRun {
+// failCall returns the result of a call whose last attempt failed with err. It
+// reports what is true of all attempts together, and releases the key when the
+// work did not run.
+func (g *Gateway) failCall(c *call, err *fault.Error) callResult {
+	// An idempotent request can get no response from one worker and be refused
+	// by the next. Relaying the refusal alone would tell the caller that the
+	// work did not run although it may have.
+	if c.mayHaveRun && err.Answer().Ran == fault.NotRun {
 		err = fault.Wrap(fault.MayHaveRun, err, "an earlier attempt may have run").After(err.Answer().RetryAfter)
 	}
 	if err.Answer().Ran == fault.NotRun {
-		g.unclaim(c)
+		g.releaseKey(c)
 	}
-	if c.gone() {
-		g.counts.abandoned.Add(1)
-		return ending{abort: true}
+	if c.isCallerGone() {
+		g.counters.abandoned.Add(1)
+		return callResult{abort: true}
 	}
-	return ending{err: err}
+	return callResult{err: err}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	headerTime = 5 * time.Second
-	idleTime   = 75 * time.Second // longer than balancers keep connections unused
-	serverTime = 5 * time.Second  // beyond the longest deadline
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 75 * time.Second // longer than load balancers keep idle connections
+	serverMargin  = 5 * time.Second  // beyond the longest deadline
 )
 
-// Server returns an http.Server for h with a bound on each connection's
-// times and on headers.
+// Server returns an http.Server for h with timeouts for each connection and a
+// bound on headers.
 //
-// A caller can open connections and send next to nothing. It would show as
-// file descriptors that run out. Every state of a connection has its bound:
-// the header, the whole request, the answer, and the time between requests.
+// Callers that open connections and send next to nothing would exhaust the
+// file descriptors. So every phase of a connection has a timeout: the header,
+// the whole request, the response, and the idle time between requests.
 func (g *Gateway) Server(h http.Handler) *http.Server {
 	server := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTime,
-		ReadTimeout:       g.maxDeadline + serverTime,
-		WriteTimeout:      g.maxDeadline + serverTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    g.headerBytes,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       g.maxDeadline + serverMargin,
+		WriteTimeout:      g.maxDeadline + serverMargin,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    g.maxHeaderBytes,
 	}
 	if log, err := zap.NewStdLogAt(g.logger, zap.DebugLevel); err == nil {
 		server.ErrorLog = log
@@ -34,18 +34,18 @@
 	return server
 }
 
-// serveProbe tells another entry instance that this one answers, and whether
+// handleProbe answers the probe of another entry instance, and reports whether
 // a request that it forwarded is in flight here.
-func (g *Gateway) serveProbe(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) handleProbe(w http.ResponseWriter, r *http.Request) {
 	running := "false"
-	if g.inFlight(r.Header.Get(HeaderRequest)) {
+	if g.isInFlight(r.Header.Get(HeaderRequest)) {
 		running = "true"
 	}
 	w.Header().Set(HeaderRunning, running)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (g *Gateway) inFlight(id string) bool {
+func (g *Gateway) isInFlight(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.calls {
--- a/gateway/watch_test.go
+++ b/gateway/watchdog_test.go
@@ -12,17 +12,15 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: requests end at their deadline although the worker is idle, while
-// others at the same worker are answered.
-// Sequence: a connection is used and kept; a device on the way forgets it;
-// the next request is written to it and vanishes.
-// Cause: only the deadline ended the wait, and the connection was never doubted.
+// Guards against requests that wait until their deadline on a dead connection:
+// a middlebox loses the state of kept connections, and the next request that is
+// written to one of them vanishes.
 func TestSilentConnection(t *testing.T) {
 	tests := []struct {
 		name    string
 		method  string
-		running string // what the worker says of the request
-		dead    bool   // it can't be reached at all
+		running string // what the worker reports about the request
+		dead    bool   // the worker is unreachable
 		fault   string
 		within  time.Duration
 	}{
@@ -44,11 +42,11 @@
 				w.running = test.running
 				n.serve("w1", &http.Server{Handler: w})
 				n.serve("w2", &http.Server{Handler: w})
-				s := newSite(n, "e1", tableOf("e1", "w1"))
+				s := newInstance(n, "e1", tableOf("e1", "w1"))
 				var warm sync.WaitGroup
 				for range 20 {
 					for range 3 {
-						warm.Go(func() { s.ask(test.method, "") })
+						warm.Go(func() { s.send(test.method, "") })
 					}
 					warm.Wait()
 				}
@@ -60,10 +58,10 @@
 					s.gateway.Publish(tableOf("e1", "w1", "w2"))
 				}
 				began := time.Now()
-				var a answer
+				var a response
 				for range 20 { // until w1 is chosen
 					began = time.Now()
-					a = s.ask(test.method, "")
+					a = s.send(test.method, "")
 					if s.gateway.Report().Silent > 0 {
 						break
 					}
@@ -77,9 +75,9 @@
 				if test.dead {
 					return
 				}
-				// The others that were open with it are not used any more.
+				// The other connections that were idle then are not used again.
 				for range 4 {
-					is.Equal(s.ask(test.method, "").status, http.StatusOK)
+					is.Equal(s.send(test.method, "").status, http.StatusOK)
 				}
 				is.Equal(s.gateway.Report().Silent, uint64(1))
 			})
@@ -87,9 +85,8 @@
 	}
 }
 
-// Symptom: long work is cut off and reported as broken.
-// Sequence: a request takes long; its worker answers probes and runs it.
-// Cause: a late answer was taken for a dead connection.
+// Guards against taking a slow response for a dead connection: the worker
+// answers probes and reports that it runs the request.
 func TestSlowAnswerIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -100,15 +97,14 @@
 		})
 		w.running = "true"
 		n.serve("w1", &http.Server{Handler: w})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
-		is.Equal(s.ask(http.MethodPost, "").body, "gold")
-		is.True(w.probed.Load() > 0)
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
+		is.Equal(s.send(http.MethodPost, "").body, "gold")
+		is.True(w.probeCount.Load() > 0)
 	})
 }
 
-// Symptom: a caller hangs in the middle of an answer.
-// Sequence: the worker sends a part and its connection goes silent.
-// Cause: the watch ended with the answer's header.
+// Guards against a caller that hangs in the middle of a response: the worker's
+// connection goes silent after a part of it.
 func TestSilenceWithinAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -122,9 +118,9 @@
 		})
 		w.running = "false"
 		n.serve("w1", &http.Server{Handler: w})
-		s := newSite(n, "e1", tableOf("e1", "w1"))
+		s := newInstance(n, "e1", tableOf("e1", "w1"))
 		began := time.Now()
-		a := s.ask(http.MethodPost, "")
+		a := s.send(http.MethodPost, "")
 		is.True(a.err != nil)
 		is.True(time.Since(began) < 3*time.Second)
 		is.Equal(s.gateway.Report().Truncated, uint64(1))
