--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// estimateWeight is the weight of the newest sample in a moving average.
+// estimateWeight is the weight of the latest sample in a moving average.
 const estimateWeight = 1.0 / 32
 
-// Bounds of the time to come back.
+// Bounds of the delay that a refusal requests before a retry.
 const (
-	shortestRetry = 10 * time.Millisecond
-	longestRetry  = 10 * time.Second
+	minRetryDelay = 10 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
 )
 
-// estimate is a moving average of a time and of its deviation, in seconds.
+// estimate is a moving average of a duration and of its absolute deviation, in
+// seconds.
 type estimate struct {
 	samples   int
 	mean      float64
@@ -31,58 +32,58 @@
 	}
 }
 
-// reserve returns the time of service that a waiting request of s must have
-// left once it has a slot.
-func (g *Gate) reserve(s *service) time.Duration {
-	return seconds(s.served.mean + g.config.reserve*s.served.deviation)
+// reservedTime returns the service time that a waiting request of s must have left
+// before its deadline when it gets a slot.
+func (g *Gate) reservedTime(s *service) time.Duration {
+	return seconds(s.serviceTime.mean + g.config.reserveDeviations*s.serviceTime.deviation)
 }
 
-// least returns the time of service below which a request of s has little
-// chance.
-func (g *Gate) least(s *service) time.Duration {
-	return seconds(s.served.mean - g.config.reserve*s.served.deviation)
+// minServiceTime returns the time left below which a request of s is unlikely to
+// finish.
+func (g *Gate) minServiceTime(s *service) time.Duration {
+	return seconds(s.serviceTime.mean - g.config.reserveDeviations*s.serviceTime.deviation)
 }
 
-// canFinish reports whether t can be answered by its deadline after a wait. A
-// request that needn't wait is tried while it has a chance; one that waits
-// must be likely to finish, as others could use the slot.
+// canFinish reports whether t can finish by its deadline after a wait. A request
+// that needn't wait is admitted while it has a chance. One that waits must be
+// likely to finish, since others could use the slot.
 //
-// What goes wrong: one slow spell raises the measured time of service above
-// every deadline, all requests are refused, and no new measurement ever
-// lowers it again. One would see a service refuse everything with idle
-// workers. A request that finds its service idle always goes.
+// A request of an idle service is always admitted. Otherwise a temporary
+// slowdown that raises the measured service time above every deadline would
+// make the service refuse all requests for good, since no request would be left
+// to correct the measurement.
 func (g *Gate) canFinish(now time.Time, t *Ticket, wait time.Duration) bool {
 	if wait > 0 {
-		return !now.Add(wait + g.reserve(t.service)).After(t.Request.Deadline)
+		return !now.Add(wait + g.reservedTime(t.service)).After(t.Request.Deadline)
 	}
-	return t.service.inFlight == 0 || !now.Add(g.least(t.service)).After(t.Request.Deadline)
+	return t.service.inFlight == 0 || !now.Add(g.minServiceTime(t.service)).After(t.Request.Deadline)
 }
 
-// wait returns how long the request at a position of the queue of s, counted
-// from one, waits for its slot.
-func (g *Gate) wait(now time.Time, s *service, position int) time.Duration {
-	own := float64(s.bound())
-	slots := g.entitled(now, s.group)
-	if s.group.bound > 0 {
-		slots = min(slots, float64(s.group.bound))
+// estimateWait returns the expected time until the request at a position of the
+// queue of s, counted from one, gets a slot.
+func (g *Gate) estimateWait(now time.Time, s *service, position int) time.Duration {
+	serviceSlots := float64(s.maxInFlight())
+	slots := g.fairShare(now, s.group)
+	if s.group.maxSlots > 0 {
+		slots = min(slots, float64(s.group.maxSlots))
 	}
-	if slots <= 0 || own <= 0 {
-		return longestRetry
+	if slots <= 0 || serviceSlots <= 0 {
+		return maxRetryDelay
 	}
 	ahead := 0.0
 	for _, o := range s.group.services {
 		if o != s {
-			ahead += float64(len(o.queue)) * o.held.mean
+			ahead += float64(len(o.queue)) * o.slotTime.mean
 		}
 	}
-	ahead += float64(position) * s.held.mean
-	return seconds(max(ahead/slots, float64(position)*s.held.mean/own))
+	ahead += float64(position) * s.slotTime.mean
+	return seconds(max(ahead/slots, float64(position)*s.slotTime.mean/serviceSlots))
 }
 
-// drain returns how long the queue of s takes to empty at its present rate,
-// as the time to come back.
-func (g *Gate) drain(now time.Time, s *service) time.Duration {
-	return min(max(g.wait(now, s, len(s.queue)+1), shortestRetry), longestRetry)
+// retryDelay returns the time that the queue of s takes to drain at its current
+// rate, within the bounds of a retry delay.
+func (g *Gate) retryDelay(now time.Time, s *service) time.Duration {
+	return min(max(g.estimateWait(now, s, len(s.queue)+1), minRetryDelay), maxRetryDelay)
 }
 
 func seconds(s float64) time.Duration {
--- a/admission/expiry.go
+++ b/admission/expiry.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Expire refuses the waiting tickets that can no longer finish by their
-// deadline. Each has its Err set.
+// deadline, and returns them with Err set.
 func (g *Gate) Expire(now time.Time) []*Ticket {
 	var refused []*Ticket
 	for len(g.waiting) > 0 && !now.Before(g.waiting[0].expiry) {
@@ -16,17 +16,17 @@
 	for _, name := range sortedKeys(g.services) {
 		refused = append(refused, g.trim(now, g.services[name])...)
 	}
-	g.sweep()
+	g.deleteUnused()
 	return refused
 }
 
-// trim refuses the newest tickets of s that lost their chance with the slots
-// that went away.
+// trim refuses the tickets of s that can't finish by their deadline after slots
+// were lost, the newest first.
 //
-// What goes wrong: half of the workers die, and requests that were accepted
-// for the old rate are held until shortly before their deadline and then
-// refused. One would see refusals that take as long as the deadline. Judging
-// the queue anew refuses them while their callers can still go elsewhere.
+// If half of the workers die, requests accepted at the old rate would otherwise
+// be held until shortly before their deadline and only then be refused.
+// Checking the queue again refuses them while their callers can still try
+// elsewhere.
 func (g *Gate) trim(now time.Time, s *service) []*Ticket {
 	var refused []*Ticket
 	for i := len(s.queue) - 1; i >= 0; i-- {
@@ -35,7 +35,7 @@
 			refused = append(refused, g.drop(now, t, "the service was removed"))
 			continue
 		}
-		if !g.canFinish(now, t, g.wait(now, s, i+1)) {
+		if !g.canFinish(now, t, g.estimateWait(now, s, i+1)) {
 			refused = append(refused, g.drop(now, t, "can't finish by the deadline"))
 		}
 	}
@@ -48,8 +48,8 @@
 	return t
 }
 
-// NextExpiry returns when Expire has something to do; a time in the past
-// says at once.
+// NextExpiry returns the time at which Expire is due, and false when nothing
+// waits. A time in the past means at once.
 func (g *Gate) NextExpiry() (time.Time, bool) {
 	if len(g.waiting) == 0 {
 		return time.Time{}, false
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -10,18 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a group gets less than its share while another floods.
-// Sequence: two groups with weights 3 and 1 flood 40 slots for a while; the
-// lighter one came first and held everything.
-// Cause: freed slots go to whoever waits longest.
+// Guards against giving freed slots to the oldest request regardless of shares:
+// two groups of weights 3 and 1 flood 40 slots, and the lighter one came first
+// and held all of them.
 func TestSharesByWeight(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"heavy": 3, "light": 1}), 40, admission.WithHeadroom(0))
-	going, _, _ := offer(g, start, 60, request("light", time.Hour))
+	admitted, _, _ := offer(g, start, 60, request("light", time.Hour))
 	offer(g, start, 60, request("heavy", time.Hour))
 	for range 200 {
-		next := g.Release(start, going[0], serviceTime, true)
-		going = append(going[1:], next...)
+		next := g.Release(start, admitted[0], serviceTime, true)
+		admitted = append(admitted[1:], next...)
 		offer(g, start, 1, request("light", time.Hour))
 		offer(g, start, 1, request("heavy", time.Hour))
 	}
@@ -33,25 +32,21 @@
 	is.Equal(held["light"], 10)
 }
 
-// Symptom: a quiet group's tail rises with another group's load.
-// Sequence: one group floods all slots; a request of an active quiet group
-// comes.
-// Cause: no slot is left, and the flood's queue goes first.
+// Guards against a group whose tail latency rises with another group's load: one
+// group floods all slots before a request of the lightly loaded group arrives.
 func TestQuietGroupDoesntWait(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"flood": 1, "quiet": 1}), 40)
 	offer(g, start, 200, request("flood", time.Hour))
-	going, _, _ := offer(g, start, 1, request("quiet", time.Hour))
-	is.Equal(len(going), 1) // the headroom
+	admitted, _, _ := offer(g, start, 1, request("quiet", time.Hour))
+	is.Equal(len(admitted), 1) // within the headroom
 	_, waiting, _ := offer(g, start, 1, request("quiet", time.Hour))
 	is.Equal(len(waiting), 1)
-	is.Equal(g.Release(start, going[0], serviceTime, true), waiting) // before the flood's queue
+	is.Equal(g.Release(start, admitted[0], serviceTime, true), waiting) // before the flood's queue
 }
 
-// Symptom: a service waits behind another one of its own group whose replicas
-// are full.
-// Sequence: "full" has two slots and a queue; "free" offers.
-// Cause: one queue for both, head-of-line blocking.
+// Guards against head-of-line blocking among the services of a group: the
+// replicas of "full" have no free slot, those of "free" have.
 func TestFullServiceDoesntBlockItsGroup(t *testing.T) {
 	is := is.New(t)
 	g := trained(map[string]route.Service{
@@ -61,51 +56,48 @@
 	g.Capacity("full", 2)
 	_, waiting, _ := offer(g, start, 20, request("full", time.Hour))
 	is.Equal(len(waiting), 18)
-	going, _, _ := offer(g, start, 6, request("free", time.Hour))
-	is.Equal(len(going), 6)
+	admitted, _, _ := offer(g, start, 6, request("free", time.Hour))
+	is.Equal(len(admitted), 6)
 }
 
-// Symptom: a service starves beside a busier one of its own group.
-// Sequence: requests of both wait in turn; slots come free.
-// Cause: the service is chosen by name or by its queue, not by who waits
-// longest.
+// Guards against a service that starves beside a busier one of its group. The
+// requests of both wait alternately and must be admitted in the order of
+// arrival.
 func TestServicesOfAGroupGoInOrder(t *testing.T) {
 	is := is.New(t)
 	g := trained(map[string]route.Service{
 		"a": {Name: "a", Group: "x", Weight: 1, Queue: 100},
 		"b": {Name: "b", Group: "x", Weight: 1, Queue: 100},
 	}, 1)
-	going, _, _ := offer(g, start, 1, request("a", time.Hour))
+	admitted, _, _ := offer(g, start, 1, request("a", time.Hour))
 	names := []string{"a", "b", "a", "b"}
 	for i, name := range names {
 		offer(g, start.Add(time.Duration(i)*time.Millisecond), 1, request(name, time.Hour))
 	}
 	for _, name := range names {
-		going = g.Release(start.Add(time.Second), going[0], serviceTime, true)
-		is.Equal(len(going), 1)
-		is.Equal(going[0].Request.Service, name)
+		admitted = g.Release(start.Add(time.Second), admitted[0], serviceTime, true)
+		is.Equal(len(admitted), 1)
+		is.Equal(admitted[0].Request.Service, name)
 	}
 }
 
-// Symptom: waiting requests stay although there is room.
-// Sequence: workers come after an outage without any request in flight; an
-// admitted caller goes away.
-// Cause: only Release starts waiting requests.
-func TestAdmitAfterRoom(t *testing.T) {
+// Guards against waiting requests that aren't admitted although slots are free,
+// because no request is in flight whose Release would admit them: an admitted
+// caller gives up, or workers return after an outage.
+func TestAdmitWithoutRelease(t *testing.T) {
 	is := is.New(t)
 	services := table(map[string]float64{"a": 1})
 	g := trained(services, 1)
-	going, waiting, _ := offer(g, start, 3, request("a", time.Hour))
-	g.Abandon(start, going[0])
+	admitted, waiting, _ := offer(g, start, 3, request("a", time.Hour))
+	g.Abandon(start, admitted[0])
 	is.Equal(g.Admit(start), waiting[:1])
 	g.Update(services, 2)
 	is.Equal(g.Admit(start), waiting[1:])
 }
 
-// Symptom: some order of events breaks a bound, loses a ticket, returns one
-// twice, or leaves a slot idle while requests wait.
-// Sequence: random offers, results, changes of the table and passing time.
-// Cause: a path that forgets to count.
+// Guards against miscounted slots and tickets: no order of events may exceed a
+// bound, lose a ticket, return one twice, or leave a slot idle while requests
+// wait.
 func TestBoundsInAnyOrder(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -152,7 +144,7 @@
 	})
 }
 
-// model keeps the tickets as a caller sees them.
+// model tracks the tickets from the caller's point of view.
 type model struct {
 	t        *rapid.T
 	order    []*admission.Ticket
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -1,4 +1,4 @@
-// Package admission decides which requests of all groups and services may
+// Package admission controls which requests of all groups and services may
 // start on one instance, which wait, and which are refused at once.
 //
 // Usage:
@@ -7,23 +7,23 @@
 //	g.Update(table.Services, slots)
 //	ticket, err := g.Offer(now, admission.Request{Service: name, Deadline: deadline})
 //	if err != nil {
-//		// refused, not run; err is a *fault.Error with a time to come back
+//		// refused, not run; err is a *fault.Error with a retry delay
 //	}
 //	if !ticket.Admitted {
 //		// wait for Release, Admit or Expire to return it
 //	}
 //	started := g.Release(now, ticket, latency, true)
 //
-// Slots go to the waiting group that holds the fewest for its weight. A
-// request that can't finish by its deadline, by the measured time of service
-// and the queue before it, is refused at once. A queue that doesn't empty
-// accepts only short waits, so that an overload doesn't make every answer as
-// late as its deadline.
+// A free slot goes to the waiting group that holds the fewest slots per unit of
+// weight. A request that can't finish by its deadline, judging by the measured
+// service time and the queue ahead of it, is refused at once. A standing queue
+// accepts only short waits, so that an overload doesn't delay every response
+// until its deadline.
 //
-// Every method gets the time as a parameter. A Gate holds one entry for each
-// service and group, one ticket for each request that is waiting (at most the
-// sum of Service.Queue) or admitted (at most the slots). It isn't safe for
-// concurrent use.
+// Every method takes the current time as a parameter. A Gate holds one entry
+// for each service and group, and one ticket for each request that is waiting
+// (at most the sum of Service.Queue) or admitted (at most the slots). It isn't
+// safe for concurrent use.
 package admission
 
 import (
@@ -42,20 +42,20 @@
 	slots    int
 	inFlight int
 	groups   map[string]*group
-	order    []*group // by name
+	order    []*group // sorted by name
 	services map[string]*service
 	waiting  expiryHeap
-	recheck  bool // waiting requests must be judged anew
+	recheck  bool // Expire must check all waiting requests
 }
 
-// Request is what the gate needs to know of a request.
+// Request describes a request to the gate.
 type Request struct {
 	Service  string
 	Deadline time.Time
 	Hops     int // how often it was forwarded
 }
 
-// New returns a Gate without services and slots.
+// New returns a Gate that has no services and no slots yet.
 func New(opts ...Option) *Gate {
 	g := &Gate{
 		config:   defaults(),
@@ -68,9 +68,9 @@
 	return g
 }
 
-// Update replaces the services and the total of slots that this instance can
-// serve. Requests that wait for a service that is gone are returned by the
-// next Expire; requests for which there is room now by the next Admit.
+// Update replaces the services and the total number of slots of this instance.
+// The next Expire returns the waiting requests of removed services, the next
+// Admit those for which slots are now free.
 func (g *Gate) Update(services map[string]route.Service, slots int) {
 	g.recheck = true
 	g.slots = slots
@@ -79,31 +79,31 @@
 	}
 	for _, gr := range g.groups {
 		gr.services = gr.services[:0]
-		gr.weight, gr.bound = 0, 0
+		gr.weight, gr.maxSlots = 0, 0
 	}
 	for _, name := range sortedKeys(services) {
-		g.define(services[name])
+		g.addService(services[name])
 	}
-	g.sweep()
+	g.deleteUnused()
 }
 
-func (g *Gate) define(r route.Service) {
+func (g *Gate) addService(r route.Service) {
 	s := g.services[r.Name]
 	if s == nil {
-		s = &service{unlimited: true}
+		s = &service{capacityUnset: true}
 		g.services[r.Name] = s
 	}
 	if s.group == nil || s.group.name != r.Group {
-		g.move(s, r.Group)
+		g.assignGroup(s, r.Group)
 	}
 	s.Service = r
 	s.removed = false
 	s.group.include(s)
-	g.bound(s)
+	g.updateLimit(s)
 }
 
-// move puts s under a group, with the slots that it holds.
-func (g *Gate) move(s *service, name string) {
+// assignGroup assigns s to a group, together with the slots that it holds.
+func (g *Gate) assignGroup(s *service, name string) {
 	gr := g.groups[name]
 	if gr == nil {
 		gr = &group{name: name}
@@ -116,8 +116,8 @@
 	s.group = gr
 }
 
-// sweep forgets services that are gone once nothing of theirs is left.
-func (g *Gate) sweep() {
+// deleteUnused deletes removed services that have no request left, and empty groups.
+func (g *Gate) deleteUnused() {
 	for name, s := range g.services {
 		if s.removed && s.inFlight == 0 && len(s.queue) == 0 {
 			delete(g.services, name)
@@ -134,34 +134,34 @@
 	}
 }
 
-// Capacity bounds what one service may have in flight to the slots of its
-// replicas. A service for which it was never called is bounded by the total
-// only.
+// Capacity bounds the requests in flight of one service to the slots of its
+// replicas. Until its first call, a service is bounded by the total number of
+// slots only.
 func (g *Gate) Capacity(name string, slots int) {
 	s := g.services[name]
-	if s == nil || !s.unlimited && s.capacity == slots {
+	if s == nil || !s.capacityUnset && s.capacity == slots {
 		return
 	}
-	s.unlimited = false
+	s.capacityUnset = false
 	s.capacity = slots
-	g.bound(s)
+	g.updateLimit(s)
 	g.recheck = true
 }
 
-// bound sets the largest value of the adaptive limit of s.
-func (g *Gate) bound(s *service) {
-	largest := g.slots
-	if !s.unlimited {
-		largest = min(largest, s.capacity)
+// updateLimit sets the maximum of the adaptive limit of s.
+func (g *Gate) updateLimit(s *service) {
+	maxLimit := g.slots
+	if !s.capacityUnset {
+		maxLimit = min(maxLimit, s.capacity)
 	}
 	if s.limit == nil {
-		s.limit = limit.New(append(slices.Clone(g.config.limit), limit.WithMax(max(largest, 1)))...)
+		s.limit = limit.New(append(slices.Clone(g.config.limit), limit.WithMax(max(maxLimit, 1)))...)
 		return
 	}
-	s.limit.SetMax(max(largest, 1))
+	s.limit.SetMax(max(maxLimit, 1))
 }
 
-// Offer asks for a slot. It returns a ticket that is admitted or waits, or a
+// Offer requests a slot. It returns a ticket that is admitted or waits, or a
 // *fault.Error of kind Overloaded, OverShare, DeadlinePassed or NotFound.
 func (g *Gate) Offer(now time.Time, r Request) (*Ticket, error) {
 	s := g.services[r.Service]
@@ -169,11 +169,11 @@
 		return nil, fault.New(fault.NotFound, "no service %q", r.Service)
 	}
 	if !now.Before(r.Deadline) {
-		return nil, fault.New(fault.DeadlinePassed, "the deadline passed before the request arrived").After(g.drain(now, s))
+		return nil, fault.New(fault.DeadlinePassed, "the deadline passed before the request arrived").After(g.retryDelay(now, s))
 	}
-	s.group.touched = now
-	t := &Ticket{Request: r, service: s, position: notWaiting}
-	if len(s.queue) == 0 && g.mayGo(now, s) && g.canFinish(now, t, 0) {
+	s.group.lastRequestAt = now
+	t := &Ticket{Request: r, service: s, heapIndex: notInHeap}
+	if len(s.queue) == 0 && g.hasFreeSlot(now, s) && g.canFinish(now, t, 0) {
 		g.admit(now, t)
 		return t, nil
 	}
@@ -184,10 +184,10 @@
 	return t, nil
 }
 
-// refusal returns why t may not wait, or nil.
+// refusal returns the reason why t may not wait, or nil.
 func (g *Gate) refusal(now time.Time, t *Ticket) error {
 	s := t.service
-	wait := g.wait(now, s, len(s.queue)+1)
+	wait := g.estimateWait(now, s, len(s.queue)+1)
 	switch {
 	case !g.canFinish(now, t, wait):
 		return g.refuse(now, s, "can't finish by the deadline")
@@ -195,7 +195,7 @@
 		return g.refuse(now, s, "no free slot for a forwarded request")
 	case len(s.queue) >= s.Queue:
 		return g.refuse(now, s, "the queue is full")
-	case wait > g.config.standingWait && s.standing(now, g.config.standingTime):
+	case wait > g.config.maxStandingWait && s.isStanding(now, g.config.standingAfter):
 		return g.refuse(now, s, "the queue doesn't empty")
 	}
 	return nil
@@ -203,10 +203,10 @@
 
 func (g *Gate) refuse(now time.Time, s *service, reason string) *fault.Error {
 	kind := fault.Overloaded
-	if s.group.atBound() {
+	if s.group.isAtMaxSlots() {
 		kind = fault.OverShare
 	}
-	return fault.New(kind, "%s: %s", s.Name, reason).After(g.drain(now, s))
+	return fault.New(kind, "%s: %s", s.Name, reason).After(g.retryDelay(now, s))
 }
 
 func (g *Gate) admit(now time.Time, t *Ticket) {
@@ -215,14 +215,14 @@
 	g.inFlight++
 	t.service.inFlight++
 	t.service.group.inFlight++
-	t.service.group.touched = now
+	t.service.group.lastRequestAt = now
 }
 
 func (g *Gate) enqueue(now time.Time, t *Ticket) {
 	s := t.service
 	t.state = waiting
-	t.since = now
-	t.expiry = t.Request.Deadline.Add(-g.reserve(s))
+	t.waitingSince = now
+	t.expiry = t.Request.Deadline.Add(-g.reservedTime(s))
 	if len(s.queue) == 0 {
 		s.waitingSince = now
 	}
@@ -230,17 +230,17 @@
 	heap.Push(&g.waiting, t)
 }
 
-// dequeue takes a waiting ticket out.
+// dequeue removes a waiting ticket from its queue and from the heap.
 func (g *Gate) dequeue(t *Ticket) {
 	t.service.remove(t)
-	heap.Remove(&g.waiting, t.position)
+	heap.Remove(&g.waiting, t.heapIndex)
 	t.state = ended
 }
 
 // Release frees the slot of t, which was held for latency, and returns the
-// tickets now admitted. ok is false when no answer came in time; an error
-// that the server itself reported is an answer. A ticket that holds no slot
-// is ignored.
+// tickets admitted in turn. ok is false when no response arrived in time; an
+// error reported by the server itself counts as a response. A ticket without a
+// slot is ignored.
 func (g *Gate) Release(now time.Time, t *Ticket, latency time.Duration, ok bool) []*Ticket {
 	if t.state != admitted {
 		return nil
@@ -248,26 +248,26 @@
 	s := t.service
 	s.limit.Observe(now, s.inFlight, latency, ok)
 	s.measure(latency, ok)
-	g.free(t)
+	g.freeSlot(t)
 	return g.Admit(now)
 }
 
-func (g *Gate) free(t *Ticket) {
+func (g *Gate) freeSlot(t *Ticket) {
 	t.state = ended
 	g.inFlight--
 	t.service.inFlight--
 	t.service.group.inFlight--
 	if t.service.removed {
-		g.sweep()
+		g.deleteUnused()
 	}
 }
 
-// Admit returns the tickets that may go now. It is to be called after Update,
-// Capacity and Abandon; Release includes it.
+// Admit admits waiting tickets while slots are free, and returns them. Call it
+// after Update, Capacity and Abandon; Release includes it.
 func (g *Gate) Admit(now time.Time) []*Ticket {
 	var started []*Ticket
 	for {
-		s := g.next(now)
+		s := g.nextService(now)
 		if s == nil {
 			return started
 		}
@@ -278,13 +278,13 @@
 	}
 }
 
-// Abandon drops t, whose caller went away. When t was admitted in the
-// meantime its slot is freed, and Admit tells who may go instead.
+// Abandon drops t, whose caller gave up. If t holds a slot, the slot is freed
+// for the next Admit.
 func (g *Gate) Abandon(now time.Time, t *Ticket) {
 	switch t.state {
 	case waiting:
 		g.dequeue(t)
 	case admitted:
-		g.free(t)
+		g.freeSlot(t)
 	}
 }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -14,8 +14,8 @@
 
 const serviceTime = 100 * time.Millisecond
 
-// table returns services that have their own name and group of the given
-// weights, a queue of 100 and no bound of slots.
+// table returns one service per name, each in a group of the same name and with
+// the given weight, a queue of 100 and no bound of slots.
 func table(weights map[string]float64) map[string]route.Service {
 	services := map[string]route.Service{}
 	for name, weight := range weights {
@@ -42,51 +42,51 @@
 	return admission.Request{Service: service, Deadline: start.Add(left)}
 }
 
-// offer offers n requests and returns the tickets.
-func offer(g *admission.Gate, now time.Time, n int, r admission.Request) (going, waiting []*admission.Ticket, refused []error) {
+// offer offers n requests and returns the admitted tickets, the waiting ones
+// and the errors of the refused requests.
+func offer(g *admission.Gate, now time.Time, n int, r admission.Request) (admitted, waiting []*admission.Ticket, refused []error) {
 	for range n {
 		t, err := g.Offer(now, r)
 		switch {
 		case err != nil:
 			refused = append(refused, err)
 		case t.Admitted:
-			going = append(going, t)
+			admitted = append(admitted, t)
 		default:
 			waiting = append(waiting, t)
 		}
 	}
-	return going, waiting, refused
+	return admitted, waiting, refused
 }
 
-// Symptom: callers wait until their deadline and are refused then.
-// Sequence: 40 requests at once with 300 ms left, 4 slots, 100 ms each.
-// Cause: the queue accepts what can't finish in time.
+// Guards against queueing requests that can't finish by their deadline: 40
+// requests arrive at once with 300 ms left, for 4 slots at 100 ms each.
 func TestRefusesAtOnceWhatCannotFinish(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"a": 1}), 4)
-	going, waiting, refused := offer(g, start, 40, request("a", 3*serviceTime))
-	is.Equal(len(going), 4)
-	is.Equal(len(waiting), 8) // two more rounds of 100 ms, then it's too late
+	admitted, waiting, refused := offer(g, start, 40, request("a", 3*serviceTime))
+	is.Equal(len(admitted), 4)
+	is.Equal(len(waiting), 8) // two more rounds of 100 ms fit before the deadline
 	is.Equal(len(refused), 28)
 	for _, err := range refused {
 		is.True(fault.Is(err, fault.Overloaded))
 	}
 	after := refused[0].(*fault.Error).Answer().RetryAfter
-	is.True(after >= 200*time.Millisecond && after <= 300*time.Millisecond) // what drains the queue
+	is.True(after >= 200*time.Millisecond && after <= 300*time.Millisecond) // the time to drain the queue
 
 	served := 0
-	for now := start; len(going) > 0; {
+	for now := start; len(admitted) > 0; {
 		now = now.Add(serviceTime)
 		is.True(!now.After(start.Add(350 * time.Millisecond)))
 		var next []*admission.Ticket
-		for _, t := range going {
+		for _, t := range admitted {
 			next = append(next, g.Release(now, t, serviceTime, true)...)
 			served++
 		}
 		is.Equal(len(g.Expire(now)), 0)
-		going = next
+		admitted = next
 	}
-	is.Equal(served, 12) // all that were accepted, in time
+	is.Equal(served, 12) // all accepted requests, in time
 
 	_, err := g.Offer(start, request("a", 0))
 	is.True(fault.Is(err, fault.DeadlinePassed))
@@ -94,10 +94,8 @@
 	is.True(fault.Is(err, fault.NotFound))
 }
 
-// Symptom: a waiting caller is held although its request can't finish.
-// Sequence: the service goes slow, so that a waiting ticket's time comes; or
-// half of the workers go; or the service is removed.
-// Cause: waiting tickets are judged only when they come.
+// Guards against holding a waiting request that can't finish any more: time
+// passes, half of the workers are lost, or the service is removed.
 func TestExpiresWaiting(t *testing.T) {
 	services := table(map[string]float64{"a": 1})
 	cases := []struct {
@@ -127,40 +125,38 @@
 			is.Equal(len(refused), c.refused)
 			for _, ticket := range refused {
 				is.Equal(ticket.Err.Kind.Answer().Ran, fault.NotRun)
-				is.Equal(len(g.Release(now, ticket, 0, true)), 0) // holds no slot
+				is.Equal(len(g.Release(now, ticket, 0, true)), 0) // it holds no slot
 			}
 		})
 	}
 }
 
-// Symptom: a service refuses everything with idle workers, for good.
-// Sequence: a slow spell raises the measured time above every deadline; the
-// service is quick again.
-// Cause: no request passes that could correct the measurement.
-func TestIdleServiceAlwaysTries(t *testing.T) {
+// Guards against a service that refuses all requests for good although its
+// workers are idle: a slowdown has raised the measured service time above every
+// deadline, and only an admitted request can correct it.
+func TestIdleServiceAlwaysAdmits(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"a": 1}), 4)
 	for range 100 {
 		ticket, _ := g.Offer(start, request("a", time.Hour))
 		g.Release(start, ticket, 10*time.Second, true)
 	}
-	going, _, refused := offer(g, start, 4, request("a", time.Second))
-	is.Equal(len(going), 1)
+	admitted, _, refused := offer(g, start, 4, request("a", time.Second))
+	is.Equal(len(admitted), 1)
 	is.Equal(len(refused), 3)
 	for range 200 {
-		g.Release(start, going[0], serviceTime, true)
-		going, _, _ = offer(g, start, 1, request("a", time.Second))
-		is.Equal(len(going), 1)
+		g.Release(start, admitted[0], serviceTime, true)
+		admitted, _, _ = offer(g, start, 1, request("a", time.Second))
+		is.Equal(len(admitted), 1)
 	}
-	going, _, _ = offer(g, start, 3, request("a", time.Second))
-	is.Equal(len(going), 3)
+	admitted, _, _ = offer(g, start, 3, request("a", time.Second))
+	is.Equal(len(admitted), 3)
 }
 
-// Symptom: a request is refused although a slot is free and it may well
-// finish, or is sent although it hardly can.
-// Sequence: times of service are 50 and 150 ms in turn; slots are free.
-// Cause: the mean alone, or nothing, decides.
-func TestFreeSlotIsTriedWithAChance(t *testing.T) {
+// Guards against refusing a request that may well finish on a free slot, and
+// against admitting one that hardly can. Service times alternate between 50 and
+// 150 ms, so the mean alone can't decide.
+func TestFreeSlotAdmitsIfLikelyToFinish(t *testing.T) {
 	is := is.New(t)
 	g := admission.New()
 	g.Update(table(map[string]float64{"a": 1}), 4)
@@ -169,17 +165,16 @@
 		g.Release(start, ticket, serviceTime/2+time.Duration(i%2)*serviceTime, true)
 	}
 	offer(g, start, 1, request("a", time.Second))
-	going, _, _ := offer(g, start, 1, request("a", 80*time.Millisecond))
-	is.Equal(len(going), 1)
+	admitted, _, _ := offer(g, start, 1, request("a", 80*time.Millisecond))
+	is.Equal(len(admitted), 1)
 	_, _, refused := offer(g, start, 1, request("a", 30*time.Millisecond))
 	is.Equal(len(refused), 1)
 }
 
-// Symptom: a dead worker's quick refusals make the queue look short.
-// Sequence: requests fail within a millisecond; then others come that have
-// time for the true service time only.
-// Cause: the drain rate counts failures that took no time.
-func TestQuickFailuresDontSpeedTheQueue(t *testing.T) {
+// Guards against overestimating the drain rate of the queue: requests fail
+// within a millisecond, as at a dead worker, before others arrive whose deadline
+// allows for the true service time only.
+func TestFastFailuresDontRaiseDrainRate(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"a": 1}), 4)
 	for range 100 {
@@ -190,32 +185,30 @@
 	is.Equal(len(waiting), 8)
 }
 
-// Symptom: a burst is refused, or a long overload makes every answer late.
-// Sequence: a queue that stays for longer than 100 ms.
-// Cause: a standing queue only adds latency; a short one absorbs a burst.
+// Guards against refusing a short burst, and against a standing queue that makes
+// every response late: the queue is non-empty for 100 ms.
 func TestStandingQueueStaysShort(t *testing.T) {
 	is := is.New(t)
 	g := trained(table(map[string]float64{"a": 1}), 10)
 	_, burst, _ := offer(g, start, 60, request("a", 10*time.Second))
 	is.Equal(len(burst), 50)
-	later := start.Add(admission.DefaultStandingTime)
+	later := start.Add(admission.DefaultStandingAfter)
 	_, waiting, refused := offer(g, later, 10, request("a", 10*time.Second))
 	is.Equal(len(waiting), 0)
 	is.Equal(len(refused), 10)
 }
 
-// Symptom: memory grows with the offered load, a group takes more than it may,
-// or a forwarded request waits far from home.
-// Sequence: 1000 requests at once against each bound.
-// Cause: a bound is missing or reported as another kind.
+// Guards against a missing bound of the queue or of a group's slots, against
+// forwarded requests that wait, and against a wrong fault kind: 1000 requests
+// arrive at once.
 func TestBounds(t *testing.T) {
 	cases := []struct {
-		name    string
-		service route.Service
-		hops    int
-		going   int
-		waiting int
-		kind    fault.Kind
+		name     string
+		service  route.Service
+		hops     int
+		admitted int
+		waiting  int
+		kind     fault.Kind
 	}{
 		{"queue", route.Service{Queue: 5}, 0, 8, 5, fault.Overloaded},
 		{"group's slots", route.Service{Queue: 5, Slots: 3}, 0, 3, 5, fault.OverShare},
@@ -229,8 +222,8 @@
 			g := trained(map[string]route.Service{"a": c.service}, 8)
 			r := request("a", time.Hour)
 			r.Hops = c.hops
-			going, waiting, refused := offer(g, start, 1000, r)
-			is.Equal(len(going), c.going)
+			admitted, waiting, refused := offer(g, start, 1000, r)
+			is.Equal(len(admitted), c.admitted)
 			is.Equal(len(waiting), c.waiting)
 			for _, err := range refused {
 				is.True(fault.Is(err, c.kind))
--- a/admission/group.go
+++ b/admission/group.go
@@ -7,32 +7,31 @@
 	"time"
 )
 
-// activity is how long a group counts among the competitors after its last
-// request.
-const activity = time.Second
+// activityTimeout is how long a group counts as active after its last request.
+const activityTimeout = time.Second
 
-// group is what the services of one group hold together.
+// group is the state that the services of one group share.
 type group struct {
-	name     string
-	weight   float64
-	bound    int // slots it may hold; not positive says no bound of its own
-	services []*service
-	inFlight int
-	touched  time.Time // last request
+	name          string
+	weight        float64
+	maxSlots      int // slots it may hold, unbounded if not positive
+	services      []*service
+	inFlight      int
+	lastRequestAt time.Time
 }
 
-// include adds s, and takes the largest weight and bound of the services.
+// include adds s. The group's weight and bound are the maxima of its services'.
 func (gr *group) include(s *service) {
 	gr.services = append(gr.services, s)
 	gr.weight = max(gr.weight, s.Weight)
-	gr.bound = max(gr.bound, s.Slots)
+	gr.maxSlots = max(gr.maxSlots, s.Slots)
 }
 
-func (gr *group) atBound() bool {
-	return gr.bound > 0 && gr.inFlight >= gr.bound
+func (gr *group) isAtMaxSlots() bool {
+	return gr.maxSlots > 0 && gr.inFlight >= gr.maxSlots
 }
 
-func (gr *group) queued() int {
+func (gr *group) queueLength() int {
 	n := 0
 	for _, s := range gr.services {
 		n += len(s.queue)
@@ -40,45 +39,46 @@
 	return n
 }
 
-func (gr *group) active(now time.Time) bool {
-	return gr.inFlight > 0 || !gr.touched.IsZero() && now.Sub(gr.touched) < activity || gr.queued() > 0
+func (gr *group) isActive(now time.Time) bool {
+	return gr.inFlight > 0 || !gr.lastRequestAt.IsZero() && now.Sub(gr.lastRequestAt) < activityTimeout || gr.queueLength() > 0
 }
 
 // demand returns how many slots the group could use.
 func (gr *group) demand() int {
-	n := gr.inFlight + gr.queued() + 1
-	if gr.bound > 0 {
-		n = min(n, gr.bound)
+	n := gr.inFlight + gr.queueLength() + 1
+	if gr.maxSlots > 0 {
+		n = min(n, gr.maxSlots)
 	}
 	return n
 }
 
-// load returns the slots held for each unit of weight.
+// load returns the number of slots held per unit of weight.
 func (gr *group) load() float64 {
-	return float64(gr.inFlight) / gr.unit()
+	return float64(gr.inFlight) / gr.positiveWeight()
 }
 
-// smallestWeight stands in for a weight that isn't positive.
-const smallestWeight = 1e-6
+// minWeight replaces a weight that isn't positive.
+const minWeight = 1e-6
 
-func (gr *group) unit() float64 {
-	return max(gr.weight, smallestWeight)
+func (gr *group) positiveWeight() float64 {
+	return max(gr.weight, minWeight)
 }
 
-// mayGo reports whether a request of s may start now.
-func (g *Gate) mayGo(now time.Time, s *service) bool {
-	if g.inFlight >= g.slots || s.inFlight >= s.bound() || s.group.atBound() {
+// hasFreeSlot reports whether a request of s may start now.
+func (g *Gate) hasFreeSlot(now time.Time, s *service) bool {
+	if g.inFlight >= g.slots || s.inFlight >= s.maxInFlight() || s.group.isAtMaxSlots() {
 		return false
 	}
 	return g.slots-g.inFlight > g.headroom(now, s.group)
 }
 
-// headroom returns how many slots must stay free after gr took one.
+// headroom returns how many slots must stay free for other groups when gr takes
+// one.
 //
-// What goes wrong: one group floods the instance and holds every slot; a
-// request of another group waits until one of them ends, however small its
-// own load is. One would see the quiet group's tail rise with the busy
-// group's load. A group above its share leaves a few slots to the others.
+// A group above its fair share leaves a few slots free. Otherwise a group that
+// floods the instance would hold every slot, and a request of another group
+// would wait for one of them to end: the tail latency of a lightly loaded group
+// would rise with the load of the busy one.
 func (g *Gate) headroom(now time.Time, gr *group) int {
 	if g.config.headroom == 0 {
 		return 0
@@ -86,26 +86,27 @@
 	total := 0.0
 	others := false
 	for _, o := range g.order {
-		if o != gr && !o.active(now) {
+		if o != gr && !o.isActive(now) {
 			continue
 		}
-		total += o.unit()
+		total += o.positiveWeight()
 		others = others || o != gr
 	}
-	if !others || float64(gr.inFlight) < float64(g.slots)*gr.unit()/total {
+	if !others || float64(gr.inFlight) < float64(g.slots)*gr.positiveWeight()/total {
 		return 0
 	}
 	return int(g.config.headroom*float64(g.slots) + 0.5)
 }
 
-// next returns the service whose head goes next, or nil.
-func (g *Gate) next(now time.Time) *service {
+// nextService returns the service whose queue is served next, or nil: that of
+// the group with the lowest load.
+func (g *Gate) nextService(now time.Time) *service {
 	if len(g.waiting) == 0 || g.inFlight >= g.slots {
 		return nil
 	}
 	var best *service
 	for _, gr := range g.order {
-		s := g.ready(now, gr)
+		s := g.oldestWaiting(now, gr)
 		if s == nil {
 			continue
 		}
@@ -116,53 +117,54 @@
 	return best
 }
 
-// ready returns the service of gr that waits longest of those that may go.
-// A service at its own limit doesn't block the others of its group.
-func (g *Gate) ready(now time.Time, gr *group) *service {
+// oldestWaiting returns the service of gr with the oldest waiting request among
+// those that may start one. A service at its own limit doesn't block the others
+// of its group.
+func (g *Gate) oldestWaiting(now time.Time, gr *group) *service {
 	var oldest *service
 	for _, s := range gr.services {
-		if len(s.queue) == 0 || !g.mayGo(now, s) {
+		if len(s.queue) == 0 || !g.hasFreeSlot(now, s) {
 			continue
 		}
-		if oldest == nil || s.queue[0].since.Before(oldest.queue[0].since) {
+		if oldest == nil || s.queue[0].waitingSince.Before(oldest.queue[0].waitingSince) {
 			oldest = s
 		}
 	}
 	return oldest
 }
 
-// entitled returns how many slots gr gets while all active groups compete:
-// what the others leave of their shares is divided among the rest.
-func (g *Gate) entitled(now time.Time, gr *group) float64 {
-	rivals := []*group{gr}
+// fairShare returns the weighted max-min fair share of gr while all active
+// groups compete: slots that a group doesn't use are divided among the others.
+func (g *Gate) fairShare(now time.Time, gr *group) float64 {
+	activeGroups := []*group{gr}
 	for _, o := range g.order {
-		if o != gr && o.active(now) {
-			rivals = append(rivals, o)
+		if o != gr && o.isActive(now) {
+			activeGroups = append(activeGroups, o)
 		}
 	}
-	slices.SortFunc(rivals, func(x, y *group) int {
+	slices.SortFunc(activeGroups, func(x, y *group) int {
 		return cmp.Or(
-			cmp.Compare(float64(x.demand())/x.unit(), float64(y.demand())/y.unit()),
+			cmp.Compare(float64(x.demand())/x.positiveWeight(), float64(y.demand())/y.positiveWeight()),
 			cmp.Compare(x.name, y.name),
 		)
 	})
-	return divide(rivals, float64(g.slots), gr)
+	return divide(activeGroups, float64(g.slots), gr)
 }
 
-// divide gives slots to rivals, sorted by demand for each unit of weight, and
-// returns the part of one of them.
-func divide(rivals []*group, slots float64, of *group) float64 {
+// divide divides slots among groups, sorted by demand per unit of weight, and
+// returns the share of target.
+func divide(groups []*group, slots float64, target *group) float64 {
 	total := 0.0
-	for _, gr := range rivals {
-		total += gr.unit()
+	for _, gr := range groups {
+		total += gr.positiveWeight()
 	}
-	for _, gr := range rivals {
-		part := slots * gr.unit() / total
-		if gr == of {
+	for _, gr := range groups {
+		part := slots * gr.positiveWeight() / total
+		if gr == target {
 			return part
 		}
 		slots -= min(part, float64(gr.demand()))
-		total -= gr.unit()
+		total -= gr.positiveWeight()
 	}
 	return 0
 }
--- a/admission/option.go
+++ b/admission/option.go
@@ -8,13 +8,13 @@
 
 // Defaults of a Gate.
 const (
-	DefaultReserve      = 1.0
-	DefaultHeadroom     = 0.03
-	DefaultStandingWait = 20 * time.Millisecond
-	DefaultStandingTime = 100 * time.Millisecond
+	DefaultReserve       = 1.0
+	DefaultHeadroom      = 0.03
+	DefaultStandingWait  = 20 * time.Millisecond
+	DefaultStandingAfter = 100 * time.Millisecond
 )
 
-// Discipline tells which waiting request of a service goes first.
+// Discipline determines which waiting request of a service is admitted first.
 type Discipline int
 
 // Disciplines of a queue.
@@ -24,52 +24,52 @@
 )
 
 type config struct {
-	reserve      float64
-	headroom     float64
-	standingWait time.Duration
-	standingTime time.Duration
-	discipline   Discipline
-	limit        []limit.Option
+	reserveDeviations float64
+	headroom          float64
+	maxStandingWait   time.Duration
+	standingAfter     time.Duration
+	discipline        Discipline
+	limit             []limit.Option
 }
 
 func defaults() config {
 	return config{
-		reserve:      DefaultReserve,
-		headroom:     DefaultHeadroom,
-		standingWait: DefaultStandingWait,
-		standingTime: DefaultStandingTime,
+		reserveDeviations: DefaultReserve,
+		headroom:          DefaultHeadroom,
+		maxStandingWait:   DefaultStandingWait,
+		standingAfter:     DefaultStandingAfter,
 	}
 }
 
-// Option changes a Gate.
+// Option configures a Gate.
 type Option func(*config)
 
-// WithReserve sets how many mean deviations beyond the mean time of service a
-// request must have left until its deadline, 1 by default.
+// WithReserve sets the time that a waiting request must have left until its
+// deadline: the mean service time plus this many mean deviations, 1 by default.
 func WithReserve(deviations float64) Option {
-	return func(c *config) { c.reserve = deviations }
+	return func(c *config) { c.reserveDeviations = deviations }
 }
 
-// WithHeadroom sets the part of the slots that a group above its share
-// leaves to other active groups, 0.03 by default.
+// WithHeadroom sets the fraction of the slots that a group above its fair share
+// must leave free for other active groups, 0.03 by default.
 func WithHeadroom(part float64) Option {
 	return func(c *config) { c.headroom = part }
 }
 
-// WithStanding sets the longest wait that is accepted once a queue hasn't
-// been empty for a time: 20 ms after 100 ms by default. A wait of an hour
-// turns this off.
+// WithStanding sets the maximum wait that is accepted while a queue has been
+// non-empty for at least after: 20 ms after 100 ms by default. A wait of an
+// hour disables the check.
 func WithStanding(wait, after time.Duration) Option {
-	return func(c *config) { c.standingWait, c.standingTime = wait, after }
+	return func(c *config) { c.maxStandingWait, c.standingAfter = wait, after }
 }
 
-// WithDiscipline sets which waiting request goes first, FIFO by default.
+// WithDiscipline sets which waiting request is admitted first, FIFO by default.
 func WithDiscipline(d Discipline) Option {
 	return func(c *config) { c.discipline = d }
 }
 
-// WithLimit sets options of the adaptive limit of each service. Its largest
-// bound is the gate's to set.
+// WithLimit sets options of the adaptive limit of each service. The gate itself
+// sets the maximum of the limit.
 func WithLimit(opts ...limit.Option) Option {
 	return func(c *config) { c.limit = opts }
 }
--- a/admission/service.go
+++ b/admission/service.go
@@ -8,39 +8,39 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// service is one service's queue and measurements.
+// service holds the queue and the measurements of one service.
 type service struct {
 	route.Service
-	group     *group
-	removed   bool
-	unlimited bool // no capacity was set
-	capacity  int
-	limit     *limit.Limit
-	inFlight  int
+	group         *group
+	removed       bool
+	capacityUnset bool // Capacity was not called yet
+	capacity      int
+	limit         *limit.Limit
+	inFlight      int
 
 	queue        []*Ticket // oldest first
 	waitingSince time.Time // when the queue was last empty
 
-	served estimate // time of service of answered requests
-	held   estimate // time that slots are held, whatever the result
+	serviceTime estimate // service time of answered requests
+	slotTime    estimate // time that a slot is held, whatever the result
 }
 
-// bound returns how many requests of s may be in flight, the shares of
-// groups aside.
-func (s *service) bound() int {
+// maxInFlight returns how many requests of s may be in flight, regardless of the
+// shares of groups.
+func (s *service) maxInFlight() int {
 	bound := s.limit.Value()
-	if s.unlimited {
+	if s.capacityUnset {
 		return bound
 	}
 	return min(bound, s.capacity)
 }
 
-// standing reports whether the queue hasn't been empty for a time.
-func (s *service) standing(now time.Time, after time.Duration) bool {
+// isStanding reports whether the queue has been non-empty for at least after.
+func (s *service) isStanding(now time.Time, after time.Duration) bool {
 	return len(s.queue) > 0 && now.Sub(s.waitingSince) >= after
 }
 
-// head returns the ticket that goes next.
+// head returns the ticket to admit next.
 func (s *service) head(d Discipline) *Ticket {
 	if d == LIFO {
 		return s.queue[len(s.queue)-1]
@@ -53,17 +53,16 @@
 	s.queue = slices.Delete(s.queue, i, i+1)
 }
 
-// measure takes the time that a slot was held into account.
+// measure records the time that a slot was held.
 //
-// What goes wrong: a dead worker refuses within a fraction of the time of
-// service, the queue seems to drain many times as fast, and requests are
-// accepted that can't finish. One would see timeouts where refusals belong. A
-// request that failed sooner than usual says nothing about the others.
+// A request that failed faster than the mean is ignored. Otherwise the fast
+// refusals of a dead worker would make the queue seem to drain many times
+// faster, and requests that can't finish would be accepted and time out.
 func (s *service) measure(latency time.Duration, ok bool) {
 	if ok {
-		s.served.add(latency)
+		s.serviceTime.add(latency)
 	}
-	if ok || latency.Seconds() > s.held.mean {
-		s.held.add(latency)
+	if ok || latency.Seconds() > s.slotTime.mean {
+		s.slotTime.add(latency)
 	}
 }
--- a/admission/status.go
+++ b/admission/status.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Status is what a Gate knows of one service, for dumps.
+// Status is the state of one service in a dump.
 type Status struct {
 	Service  string        `json:"service"`
 	Group    string        `json:"group"`
 	InFlight int           `json:"inflight"`
 	Waiting  int           `json:"waiting"`
-	Limit    int           `json:"limit"` // adaptive, and at most the replicas' slots
-	Served   time.Duration `json:"served"`
+	Limit    int           `json:"limit"`  // adaptive, and at most the replicas' slots
+	Served   time.Duration `json:"served"` // mean service time
 }
 
-// Dump returns the services, by name.
+// Dump returns the services, sorted by name.
 func (g *Gate) Dump() []Status {
 	all := make([]Status, 0, len(g.services))
 	for _, name := range sortedKeys(g.services) {
@@ -22,8 +22,8 @@
 			Group:    s.group.name,
 			InFlight: s.inFlight,
 			Waiting:  len(s.queue),
-			Limit:    s.bound(),
-			Served:   seconds(s.served.mean),
+			Limit:    s.maxInFlight(),
+			Served:   seconds(s.serviceTime.mean),
 		})
 	}
 	return all
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -8,23 +8,23 @@
 
 //go:generate go tool stringer -type=Discipline,ticketState -output=strings.go
 
-// Ticket stands for one request at the gate.
+// Ticket represents one request at the gate.
 type Ticket struct {
 	Request  Request
-	Admitted bool         // it holds a slot and may go
-	Err      *fault.Error // why Expire refused it
+	Admitted bool         // holds a slot and may start
+	Err      *fault.Error // set when Expire refuses the ticket
 
-	service  *service
-	state    ticketState
-	since    time.Time // when it began to wait
-	expiry   time.Time // from then on it can't finish
-	position int       // in the heap of waiting tickets
+	service      *service
+	state        ticketState
+	waitingSince time.Time
+	expiry       time.Time // from then on it can't finish by its deadline
+	heapIndex    int
 }
 
-// notWaiting is the position of a ticket outside the heap.
-const notWaiting = -1
+// notInHeap is the heapIndex of a ticket that isn't in the heap.
+const notInHeap = -1
 
-// ticketState tells where a ticket is.
+// ticketState is the lifecycle state of a ticket.
 type ticketState int
 
 // States of a ticket.
@@ -35,7 +35,7 @@
 	ended
 )
 
-// expiryHeap orders waiting tickets by expiry, for package heap.
+// expiryHeap is a heap of the waiting tickets, ordered by expiry.
 type expiryHeap []*Ticket
 
 // Len implements heap.Interface.
@@ -47,14 +47,14 @@
 // Swap implements heap.Interface.
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position = i
-	h[j].position = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
 	t := x.(*Ticket)
-	t.position = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
@@ -64,6 +64,6 @@
 	t := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	t.position = notWaiting
+	t.heapIndex = notInHeap
 	return t
 }
