--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-const quick = 10 * time.Millisecond
+const healthyLatency = 10 * time.Millisecond
 
 func replicas(n, slots int) []route.Backend {
 	var all []route.Backend
@@ -27,21 +27,22 @@
 	return all
 }
 
-// together is how many requests play has in flight at once.
-const together = 32
+// concurrency is how many requests play has in flight at once.
+const concurrency = 32
 
-// play sends n requests, many at once, each answered as answer says, and
-// returns how many went to each worker.
+// play sends n requests in batches of concurrent ones, with the latency and
+// result that answer returns for a worker, and returns the number of requests
+// for each worker.
 func play(b *balancer.Balancer, now time.Time, n int, answer func(worker string) (time.Duration, balancer.Result)) map[string]int {
 	sent := map[string]int{}
-	for range n / together {
-		var flying []string
-		for range together {
+	for range n / concurrency {
+		var inFlight []string
+		for range concurrency {
 			if r, ok := b.Pick(now, nil); ok {
-				flying = append(flying, r.Worker)
+				inFlight = append(inFlight, r.Worker)
 			}
 		}
-		for _, worker := range flying {
+		for _, worker := range inFlight {
 			sent[worker]++
 			d, result := answer(worker)
 			b.Done(now, worker, d, result)
@@ -50,10 +51,10 @@
 	return sent
 }
 
-func healthy(string) (time.Duration, balancer.Result) { return quick, balancer.OK }
+func healthy(string) (time.Duration, balancer.Result) { return healthyLatency, balancer.OK }
 
-// ill answers for w0 as given and well for the others.
-func ill(d time.Duration, result balancer.Result) func(string) (time.Duration, balancer.Result) {
+// unhealthy returns d and result for w0, and a healthy answer for the others.
+func unhealthy(d time.Duration, result balancer.Result) func(string) (time.Duration, balancer.Result) {
 	return func(worker string) (time.Duration, balancer.Result) {
 		if worker == "w0" {
 			return d, result
@@ -62,18 +63,18 @@
 	}
 }
 
-// Symptom: a bad replica keeps its part of the requests, or never returns.
-// Sequence: w0 turns bad; its hold ends while it still is bad; it recovers.
-// Cause: outliers aren't ejected, probes aren't limited, or nothing probes.
+// Guards against a bad replica that keeps its share of the requests, and against
+// one that never returns: w0 turns bad, is probed while it is still bad, and
+// recovers.
 func TestOutlierLeavesAndReturns(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer func(string) (time.Duration, balancer.Result)
 	}{
-		{"refuses", ill(time.Millisecond, balancer.Refused)},
-		{"fails quickly", ill(time.Millisecond, balancer.Failed)},
-		{"loses requests", ill(10*quick, balancer.Lost)},
-		{"ten times slower", ill(10*quick, balancer.OK)},
+		{"refuses", unhealthy(time.Millisecond, balancer.Refused)},
+		{"fails quickly", unhealthy(time.Millisecond, balancer.Failed)},
+		{"loses requests", unhealthy(10*healthyLatency, balancer.Lost)},
+		{"ten times slower", unhealthy(10*healthyLatency, balancer.OK)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,26 +83,25 @@
 			b.Update(start, replicas(8, 8))
 			play(b, start, 400, healthy)
 			sent := play(b, start, 1000, c.answer)
-			is.True(sent["w0"] <= 2*8)    // out of rotation
-			is.Equal(b.Free(start), 7*8)  // and out of the count
-			is.Equal(b.Slots(start), 7*8) // that the gate gets
+			is.True(sent["w0"] <= 2*8) // ejected
+			is.Equal(b.Free(start), 7*8)
+			is.Equal(b.Slots(start), 7*8)
 
 			later := start.Add(balancer.DefaultHold)
-			is.Equal(b.Slots(later), 7*8+1) // and one probe
+			is.Equal(b.Slots(later), 7*8+1) // one slot for a probe
 			sent = play(b, later, 1000, c.answer)
 			is.Equal(sent["w0"], 1) // one probe, then a longer hold
 			is.Equal(play(b, later.Add(balancer.DefaultHold), 100, c.answer)["w0"], 0)
 
-			much := later.Add(balancer.DefaultLongestHold)
-			sent = play(b, much, 1000, healthy)
+			afterMaxHold := later.Add(balancer.DefaultMaxHold)
+			sent = play(b, afterMaxHold, 1000, healthy)
 			is.True(sent["w0"] > 50) // back in rotation
 		})
 	}
 }
 
-// Symptom: a fault that all replicas share takes the service down.
-// Sequence: every replica fails, or every one refuses.
-// Cause: the part that may be ejected has no bound.
+// Guards against ejecting all replicas for a fault that they share: every
+// replica fails, or every one refuses.
 func TestEjectedPartIsBounded(t *testing.T) {
 	cases := []struct {
 		result balancer.Result
@@ -116,21 +116,20 @@
 			is := is.New(t)
 			b := balancer.New(1)
 			b.Update(start, replicas(10, 1))
-			play(b, start, 1000, func(string) (time.Duration, balancer.Result) { return quick, c.result })
+			play(b, start, 1000, func(string) (time.Duration, balancer.Result) { return healthyLatency, c.result })
 			is.Equal(b.Free(start), c.left)
 		})
 	}
 }
 
-// Symptom: a service refuses everything beside live replicas.
-// Sequence: one of two replicas is ejected; the other leaves the table.
-// Cause: what was ejected stays out although nothing else is left.
+// Guards against a service that refuses all requests although a replica is
+// alive: one of two replicas is ejected, and the other leaves the table.
 func TestLastReplicaReturns(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
 	both := replicas(2, 8)
 	b.Update(start, both)
-	play(b, start, 1000, ill(quick, balancer.Refused))
+	play(b, start, 1000, unhealthy(healthyLatency, balancer.Refused))
 	is.Equal(b.Slots(start), 8)
 	b.Update(start, both[:1])
 	is.Equal(b.Slots(start), 8)
@@ -138,11 +137,9 @@
 	is.True(ok)
 }
 
-// Symptom: requests go to a worker that another instance owns by now, or
-// above its slots.
-// Sequence: the lease lapses; a replica leaves the table and returns while
-// its requests still run; skip names the only free one.
-// Cause: the lease isn't checked at the choice, or counts are dropped.
+// Guards against sending to a worker whose lease has lapsed, or more requests
+// than it has slots: the lease lapses, and a replica leaves the table and
+// returns while its requests still run.
 func TestNeverBeyondLeaseOrSlots(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
@@ -150,7 +147,7 @@
 	_, ok := b.Pick(start, func(string) bool { return true })
 	is.True(!ok)
 	_, ok = b.Pick(start.Add(time.Hour), nil)
-	is.True(!ok) // the lease lapsed at this very moment
+	is.True(!ok) // the lease lapses at this time
 	is.Equal(b.Free(start.Add(time.Hour)), 0)
 
 	b.Pick(start, nil)
@@ -160,17 +157,16 @@
 	b.Update(start, nil)
 	b.Update(start, replicas(1, 2))
 	_, ok = b.Pick(start, nil)
-	is.True(!ok) // still full after its return
-	b.Done(start, "w0", quick, balancer.OK)
-	b.Done(start, "w0", quick, balancer.OK)
-	b.Done(start, "w0", quick, balancer.OK) // one too many is ignored
+	is.True(!ok) // the requests in flight still count after the return
+	b.Done(start, "w0", healthyLatency, balancer.OK)
+	b.Done(start, "w0", healthyLatency, balancer.OK)
+	b.Done(start, "w0", healthyLatency, balancer.OK) // ignored, nothing is in flight
 	is.Equal(b.Free(start), 2)
 }
 
-// Symptom: some order of events puts more on a worker than its slots, on one
-// out of lease, or leaks a slot.
-// Sequence: random choices, results, changes of the table and passing time.
-// Cause: a path that forgets to count.
+// Guards against miscounted slots: no order of choices, results and changes of
+// the table may exceed a worker's slots, choose one without a lease, or leak a
+// slot.
 func TestSlotsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := balancer.New(rapid.Uint64().Draw(t, "seed"))
@@ -187,7 +183,7 @@
 			case 1:
 				if held[worker] > 0 {
 					held[worker]--
-					b.Done(now, worker, quick, balancer.Result(rapid.IntRange(0, 3).Draw(t, "result")))
+					b.Done(now, worker, healthyLatency, balancer.Result(rapid.IntRange(0, 3).Draw(t, "result")))
 				}
 			default:
 				r, ok := b.Pick(now, func(w string) bool { return w == worker })
@@ -203,10 +199,9 @@
 	})
 }
 
-// Symptom: one slow answer to the first request starves a replica for good.
-// Sequence: the first answer of w0 is slow, and the load stays low.
-// Cause: a bad mark is only corrected by requests, which it keeps away.
-func TestBadMarkFades(t *testing.T) {
+// Guards against a replica that stays idle for good after a slow first response:
+// at low load the balancer avoids it, so no request corrects its statistics.
+func TestStatisticsFadeWithAge(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
 	b.Update(start, replicas(2, 8))
@@ -215,24 +210,22 @@
 		b.Done(now, r.Worker, d, balancer.OK)
 		return r.Worker
 	}
-	first := one(start, 20*quick)
-	again := 0
+	first := one(start, 20*healthyLatency)
+	firstCount := 0
 	for i := range 100 {
-		if one(start.Add(time.Duration(i)*100*time.Millisecond), quick) == first {
-			again++
+		if one(start.Add(time.Duration(i)*100*time.Millisecond), healthyLatency) == first {
+			firstCount++
 		}
 	}
-	is.True(again > 20)
+	is.True(firstCount > 20)
 }
 
-// Symptom: a slower replica, not slow enough to be ejected, gets as much as
-// the others and sets the tail.
-// Sequence: w0 answers in twice the time of its peers.
-// Cause: the choice looks at requests in flight only.
+// Guards against ignoring latency in the choice: w0 takes twice the time of its
+// peers, which is not slow enough for ejection, and must get fewer requests.
 func TestSlowerReplicaGetsLess(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
 	b.Update(start, replicas(8, 8))
-	sent := play(b, start, 4000, ill(2*quick, balancer.OK))
+	sent := play(b, start, 4000, unhealthy(2*healthyLatency, balancer.OK))
 	is.True(sent["w0"] < 4000/8*3/4)
 }
--- a/balancer/option.go
+++ b/balancer/option.go
@@ -4,18 +4,18 @@
 
 import "time"
 
-// Result tells how a request to a replica ended.
+// Result is the result of a request to a replica.
 type Result int
 
 // Results of a request.
 const (
-	OK      Result = iota // a whole answer
-	Failed                // an answer that reports the server's own error
+	OK      Result = iota // a complete response
+	Failed                // a response that reports an error of the server itself
 	Refused               // the connection or the request was refused: not run
-	Lost                  // no whole answer: it may have run
+	Lost                  // no complete response: it may have run
 )
 
-// Choice tells how many replicas are compared.
+// Choice determines how many replicas are compared.
 type Choice int
 
 // Choices of a replica.
@@ -24,43 +24,45 @@
 	TwoChoices               // the better of two at random
 )
 
-// Option changes a Balancer.
+// Option configures a Balancer.
 type Option func(*Balancer)
 
-// WithChoice sets how many replicas are compared, Least by default: a worker
-// has one owner, so the counts are exact and the best of all is no herd.
+// WithChoice sets how many replicas are compared, Least by default. A worker has
+// one owner, so the counts of requests in flight are exact and Least causes no
+// herding.
 func WithChoice(c Choice) Option {
 	return func(b *Balancer) { b.choice = c }
 }
 
-// WithEjectedPart sets the largest part of replicas out of rotation for being
-// slow or failing, a half by default, and of all with those that refuse, 0.9
-// by default. Both are rounded down.
-func WithEjectedPart(part, refusing float64) Option {
-	return func(b *Balancer) { b.ejectedPart, b.refusedPart = part, refusing }
+// WithEjectedPart sets the maximum fraction of replicas that may be out of
+// rotation when a slow or failing replica is ejected, 0.5 by default, and when a
+// refusing one is, 0.9 by default. Both are rounded down to whole replicas.
+func WithEjectedPart(slowOrFailing, refusing float64) Option {
+	return func(b *Balancer) { b.maxEjectedPart, b.maxRefusedPart = slowOrFailing, refusing }
 }
 
-// WithSlowFactor sets how many times slower than its peers a replica must be
-// to leave the rotation, 3 by default; zero turns this off.
+// WithSlowFactor sets how many times slower than the median of its peers a
+// replica must be to be ejected, 3 by default. Zero disables ejection for
+// slowness.
 func WithSlowFactor(factor float64) Option {
 	return func(b *Balancer) { b.slowFactor = factor }
 }
 
-// WithFailures sets after how many failures in a row a replica leaves the
-// rotation, 5 by default, and after how many refusals, 2 by default.
+// WithFailures sets the numbers of consecutive failures and of consecutive
+// refusals after which a replica is ejected, 5 and 2 by default.
 func WithFailures(failures, refusals int) Option {
-	return func(b *Balancer) { b.failures, b.refusals = failures, refusals }
+	return func(b *Balancer) { b.maxFailures, b.maxRefusals = failures, refusals }
 }
 
-// WithHold sets how long a replica stays out of rotation before it is
-// probed, 1 s by default, and the bound on that time, 30 s by default. The
-// time doubles with each probe that fails.
-func WithHold(first, longest time.Duration) Option {
-	return func(b *Balancer) { b.hold, b.longestHold = first, longest }
+// WithHold sets how long a replica stays ejected before it is probed, 1 s by
+// default, and the maximum of that time, 30 s by default. The time doubles with
+// each failed probe.
+func WithHold(first, maximum time.Duration) Option {
+	return func(b *Balancer) { b.hold, b.maxHold = first, maximum }
 }
 
-// WithProbes sets how many probes must go well before a replica returns, 3
-// by default.
+// WithProbes sets how many probes must succeed before a replica returns to the
+// rotation, 3 by default.
 func WithProbes(n int) Option {
 	return func(b *Balancer) { b.probes = n }
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,108 +5,106 @@
 	"time"
 )
 
-// slowSamples is how many requests a replica must have answered before its
-// latency is compared.
-const slowSamples = 6
+// minSlowSamples is how many requests a replica must have answered before its
+// latency is compared with that of its peers.
+const minSlowSamples = 6
 
-// judge moves r out of the rotation or back into it after a result.
-func (b *Balancer) judge(now time.Time, r *replica, latency time.Duration, result Result) {
+// updateState ejects r or returns it to the rotation after a result.
+func (b *Balancer) updateState(now time.Time, r *replica, latency time.Duration, result Result) {
 	switch r.state {
 	case probing:
-		b.judgeProbe(now, r, latency, result)
+		b.handleProbeResult(now, r, latency, result)
 	case rotating:
-		if b.isOutlier(r) && b.mayEject(r) {
+		if b.isOutlier(r) && b.canEject(r) {
 			b.eject(now, r)
 		}
 	}
 }
 
 func (b *Balancer) isOutlier(r *replica) bool {
-	return b.isRefusing(r) || r.failures >= b.failures || b.isSlow(r)
+	return b.isRefusing(r) || r.failures >= b.maxFailures || b.isSlow(r)
 }
 
 func (b *Balancer) isRefusing(r *replica) bool {
-	return r.refusals >= b.refusals
+	return r.refusals >= b.maxRefusals
 }
 
 func (b *Balancer) isSlow(r *replica) bool {
-	if b.slowFactor <= 0 || r.samples < slowSamples {
+	if b.slowFactor <= 0 || r.samples < minSlowSamples {
 		return false
 	}
-	peer := b.peerLatency(r)
+	peer := b.medianLatency(r)
 	return peer > 0 && r.latency > b.slowFactor*peer
 }
 
-// mayEject reports whether r may leave the rotation too.
+// canEject reports whether r may be ejected in addition to the replicas that
+// are out of rotation already.
 //
-// What goes wrong: a fault that all replicas share, such as a broken
-// dependency, makes each an outlier in turn until one is left with all the
-// load, and it falls over too. One would see the healthy part of a service
-// shrink while its load stays. The bound keeps the rest in rotation; the
-// score still prefers the better ones. A replica that refuses serves nothing
-// anyway, so more of those may leave.
-func (b *Balancer) mayEject(r *replica) bool {
-	part := b.ejectedPart
+// Without this bound, a fault that all replicas share, such as a broken
+// dependency, would eject one after the other until the last one collapses under
+// the whole load. The replicas kept in rotation are still ranked by their score.
+// A replica that refuses serves nothing anyway, so more of those may be ejected.
+func (b *Balancer) canEject(r *replica) bool {
+	maxFraction := b.maxEjectedPart
 	if b.isRefusing(r) {
-		part = b.refusedPart
+		maxFraction = b.maxRefusedPart
 	}
-	return float64(len(b.out())+1) <= part*float64(len(b.order))
+	return float64(len(b.outOfRotation())+1) <= maxFraction*float64(len(b.order))
 }
 
-// out returns the replicas out of rotation.
-func (b *Balancer) out() []*replica {
+// outOfRotation returns the replicas that are ejected or being probed.
+func (b *Balancer) outOfRotation() []*replica {
 	var out []*replica
 	for _, r := range b.order {
-		if !r.inRotation() {
+		if !r.isInRotation() {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// keepSome returns replicas to the rotation when too many of a new table are
-// out of it.
+// restoreExcess returns replicas to the rotation when a new table leaves too
+// large a fraction of them out of it, those whose hold ends first.
 //
-// What goes wrong: the replicas in rotation leave the table, those that are
-// left had been ejected, and no request is admitted that could probe them.
-// One would see a service refuse everything beside live replicas. The bound
-// holds for each table anew; the replica whose hold ends first returns.
-func (b *Balancer) keepSome() {
-	out := b.out()
-	slices.SortStableFunc(out, func(x, y *replica) int { return x.until.Compare(y.until) })
-	most := int(max(b.refusedPart, b.ejectedPart) * float64(len(b.order)))
-	for _, r := range out[:max(len(out)-most, 0)] {
+// If the replicas in rotation leave the table and the remaining ones had been
+// ejected, no request would be admitted that could probe them, and the service
+// would refuse all requests although replicas are alive.
+func (b *Balancer) restoreExcess() {
+	out := b.outOfRotation()
+	slices.SortStableFunc(out, func(x, y *replica) int { return x.holdUntil.Compare(y.holdUntil) })
+	maxOut := int(max(b.maxRefusedPart, b.maxEjectedPart) * float64(len(b.order)))
+	for _, r := range out[:max(len(out)-maxOut, 0)] {
 		b.restore(r)
 	}
 }
 
 func (b *Balancer) eject(now time.Time, r *replica) {
-	r.hold = min(max(2*r.hold, b.hold), b.longestHold)
+	r.hold = min(max(2*r.hold, b.hold), b.maxHold)
 	r.state = ejected
-	r.until = now.Add(r.hold)
+	r.holdUntil = now.Add(r.hold)
 }
 
-// judgeProbe ends the probing of r at the first bad result, or after enough
-// good ones.
-func (b *Balancer) judgeProbe(now time.Time, r *replica, latency time.Duration, result Result) {
+// handleProbeResult ends the probing of r at the first bad result, or after
+// enough good ones.
+func (b *Balancer) handleProbeResult(now time.Time, r *replica, latency time.Duration, result Result) {
 	if result != OK || b.isSlowProbe(r, latency) {
 		b.eject(now, r)
 		return
 	}
-	r.probed++
-	if r.probed < b.probes {
+	r.successfulProbes++
+	if r.successfulProbes < b.probes {
 		return
 	}
 	b.restore(r)
 }
 
 func (b *Balancer) isSlowProbe(r *replica, latency time.Duration) bool {
-	peer := b.peerLatency(r)
+	peer := b.medianLatency(r)
 	return b.slowFactor > 0 && peer > 0 && latency.Seconds() > b.slowFactor*peer
 }
 
-// restore returns r to the rotation with the statistics of a new replica:
-// the old averages would eject it again at once.
+// restore returns r to the rotation and resets its statistics: the old averages
+// would eject it again at once.
 func (b *Balancer) restore(r *replica) {
 	r.state = rotating
 	r.hold = 0
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -8,70 +8,70 @@
 
 // Weights of the statistics of a replica.
 const (
-	latencyWeight  = 0.1  // of the newest latency in the average
-	failureWeight  = 0.1  // of the newest result in the failure rate
-	failurePenalty = 10.0 // a replica that fails all counts as this much slower
+	latencyWeight  = 0.1  // of the latest latency in the moving average
+	failureWeight  = 0.1  // of the latest result in the failure rate
+	failurePenalty = 10.0 // added to the relative slowness at a failure rate of 1
 )
 
-// markTime is how long a replica without results keeps its bad mark.
-const markTime = 3 * time.Second
+// statsTTL is the time in which the statistics of a replica without results
+// lose their effect.
+const statsTTL = 3 * time.Second
 
-// state tells whether a replica gets requests.
+// state determines whether a replica gets requests.
 type state int
 
 // States of a replica.
 const (
-	rotating state = iota // gets its part of the requests
+	rotating state = iota // gets its share of the requests
 	ejected               // gets none until its hold ends
 	probing               // gets one request at a time
 )
 
 type replica struct {
 	backend  route.Backend
-	listed   bool
+	isListed bool
 	inFlight int
 
-	state    state
-	until    time.Time // end of the hold
-	hold     time.Duration
-	probed   int // probes that went well
-	failures int // in a row
-	refusals int // in a row
-
-	samples     int
-	latency     float64 // moving average in seconds
-	failureRate float64 // moving average
-	measured    time.Time
+	state            state
+	holdUntil        time.Time
+	hold             time.Duration
+	successfulProbes int // successful probes
+	failures         int // in a row
+	refusals         int // in a row
+
+	samples      int
+	latency      float64 // moving average in seconds
+	failureRate  float64 // moving average
+	lastResultAt time.Time
 }
 
-// reset forgets what was measured at another address, but not the requests
-// in flight.
+// reset clears the statistics measured at a former address, but keeps the
+// requests in flight.
 func (r *replica) reset() {
 	*r = replica{inFlight: r.inFlight}
 }
 
-// leased reports whether the lease is in force.
+// isLeased reports whether the lease is in force.
 //
-// What goes wrong: this instance was paused or cut off, its lease on the
-// worker lapsed and another instance now fills the same slots. One would see
-// two instances send to one worker. The lease is checked at each choice.
-func (r *replica) leased(now time.Time) bool {
+// It is checked at each choice: if this instance was paused or partitioned, its
+// lease may have lapsed and another instance may be using the same slots.
+func (r *replica) isLeased(now time.Time) bool {
 	return now.Before(r.backend.Until)
 }
 
-// advance moves a replica whose hold has ended on to probing.
+// advance starts the probing of a replica whose hold has ended.
 func (r *replica) advance(now time.Time) {
-	if r.state == ejected && !now.Before(r.until) {
+	if r.state == ejected && !now.Before(r.holdUntil) {
 		r.state = probing
-		r.probed = 0
+		r.successfulProbes = 0
 	}
 }
 
-// bound returns how many requests the replica may hold now.
-func (r *replica) bound(now time.Time) int {
+// usableSlots returns how many requests the replica may hold now.
+func (r *replica) usableSlots(now time.Time) int {
 	r.advance(now)
 	switch {
-	case !r.leased(now) || r.state == ejected:
+	case !r.isLeased(now) || r.state == ejected:
 		return 0
 	case r.state == probing:
 		return min(1, r.backend.Slots)
@@ -79,58 +79,58 @@
 	return r.backend.Slots
 }
 
-func (r *replica) inRotation() bool {
+func (r *replica) isInRotation() bool {
 	return r.state == rotating
 }
 
-func (r *replica) take() route.Backend {
+func (r *replica) takeSlot() route.Backend {
 	r.inFlight++
 	return r.backend
 }
 
-// score is lower for a better replica. A replica without samples counts as
-// one of its peers.
+// score is lower for a better replica. A replica without samples is assumed to
+// be as fast as its peers.
 //
-// What goes wrong: one slow or failed request marks a replica as bad, the
-// choice avoids it, and without requests nothing corrects the mark. One would
-// see a replica idle for good at low load. The mark fades with its age.
-func (r *replica) score(now time.Time, peer float64) float64 {
+// The effect of the statistics fades with their age. Otherwise a single slow or
+// failed request could keep a replica idle for good at low load, since no
+// request would be left to correct its statistics.
+func (r *replica) score(now time.Time, median float64) float64 {
 	excess := failurePenalty * r.failureRate
-	if r.samples > 0 && peer > 0 {
-		excess += max(r.latency/peer, 1) - 1
+	if r.samples > 0 && median > 0 {
+		excess += max(r.latency/median, 1) - 1
 	}
-	fresh := max(1-now.Sub(r.measured).Seconds()/markTime.Seconds(), 0)
+	fresh := max(1-now.Sub(r.lastResultAt).Seconds()/statsTTL.Seconds(), 0)
 	used := float64(r.inFlight+1) / float64(r.backend.Slots)
 	return used * (1 + fresh*excess)
 }
 
-// record takes a result into the statistics. A refusal says nothing about
-// latency. A lost or failed request that was quick doesn't either.
+// record updates the statistics with a result. The latency of a refusal is
+// ignored, and so is that of a lost or failed request below the average.
 func (r *replica) record(now time.Time, latency time.Duration, result Result) {
-	if now.Sub(r.measured) >= markTime {
+	if now.Sub(r.lastResultAt) >= statsTTL {
 		r.samples, r.latency, r.failureRate = 0, 0, 0
 	}
-	r.measured = now
+	r.lastResultAt = now
 	seconds := latency.Seconds()
 	failure := 1.0
 	switch result {
 	case OK:
 		failure = 0
 		r.failures, r.refusals = 0, 0
-		r.measure(seconds)
+		r.addLatency(seconds)
 	case Refused:
 		r.failures++
 		r.refusals++
 	default:
 		r.failures++
 		if seconds > r.latency {
-			r.measure(seconds)
+			r.addLatency(seconds)
 		}
 	}
 	r.failureRate += failureWeight * (failure - r.failureRate)
 }
 
-func (r *replica) measure(seconds float64) {
+func (r *replica) addLatency(seconds float64) {
 	r.samples++
 	weight := max(latencyWeight, 1/float64(r.samples))
 	r.latency += weight * (seconds - r.latency)
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Status is what a Balancer knows of one replica, for dumps.
+// Status is the state of one replica in a dump.
 type Status struct {
 	Worker   string        `json:"worker"`
 	State    string        `json:"state"`
 	InFlight int           `json:"inflight"`
 	Slots    int           `json:"slots"`
 	Latency  time.Duration `json:"latency"`
-	Failures float64       `json:"failures"` // moving average of the failed part
+	Failures float64       `json:"failures"` // moving average of the failure rate
 }
 
-// Dump returns the replicas in the table, by worker.
+// Dump returns the replicas in the table, sorted by worker.
 func (b *Balancer) Dump() []Status {
 	all := make([]Status, 0, len(b.order))
 	for _, r := range b.order {
