--- a/limit/aim.go
+++ b/limit/aim.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Factors by which Aim moves the bound in one window, at most.
+// Maximum factors by which Aim changes the bound in one window.
 const (
-	mostGrowth = 2.0 // as slow start does
-	mostCut    = 0.5
+	maxGrowth = 2.0 // as in TCP slow start
+	maxShrink = 0.5
 )
 
-// aimWindow moves the bound to where the latency would be the one aimed at.
+// adjustToTarget moves the bound towards the value at which the latency would
+// equal the target.
 //
-// What goes wrong without it: requests that a full link or a busy process
-// can't pass on wait there, time out, and are sent again, so that the link
-// carries little but requests that nobody waits for any more. One would see
-// most of them unanswered, at a throughput far below what the link carries. By
-// Little's law what is in flight is throughput by latency, so at a given
-// throughput the bound shrinks by the ratio of the latencies. The idea, a
-// queueing delay as the aim, is that of LEDBAT (RFC 6817).
-func (l *Limit) aimWindow(now time.Time, saturated bool, median float64) {
-	ratio := l.aim / math.Max(median, l.aim/mostGrowth)
+// Without such a bound, requests queue at a saturated link or process, time out
+// and are sent again, until the link carries little but requests that nobody
+// waits for any more: most get no response, at a throughput far below the
+// link's capacity. By Little's law the number in flight is throughput times
+// latency, so at constant throughput the bound scales with the ratio of target
+// to measured latency. A target queueing delay is also the principle of LEDBAT
+// (RFC 6817).
+func (l *Limit) adjustToTarget(now time.Time, saturated bool, median float64) {
+	ratio := l.targetLatency / math.Max(median, l.targetLatency/maxGrowth)
 	if ratio < 1 {
-		l.value = l.clamp(l.value * math.Max(ratio, mostCut))
-		l.cutAt = now
+		l.value = l.clamp(l.value * math.Max(ratio, maxShrink))
+		l.shrunkAt = now
 		return
 	}
 	if saturated {
--- a/limit/algorithm.go
+++ b/limit/algorithm.go
@@ -2,14 +2,14 @@
 
 //go:generate go tool stringer -type=Algorithm -output=strings.go
 
-// Algorithm tells how a Limit moves.
+// Algorithm is the method by which a Limit adjusts its bound.
 type Algorithm int
 
 // Algorithms of a Limit.
 const (
-	Climb    Algorithm = iota // by trials of a lower or higher bound
-	Gradient                  // by the ratio of the latency to the usual one
+	Climb    Algorithm = iota // hill climbing: trials of a lower or higher bound
+	Gradient                  // by the ratio of the latency to its baseline
 	AIMD                      // additive increase, multiplicative decrease
-	Aim                       // towards a latency that is aimed at
-	Off                       // not at all
+	Aim                       // towards a target latency
+	Off                       // constant bound
 )
--- a/limit/climb.go
+++ b/limit/climb.go
@@ -2,39 +2,40 @@
 
 // Constants of Climb.
 const (
-	step         = 0.75 // of the bound that a trial tries
-	keepLower    = 0.93 // a lower bound must keep this part of the throughput
-	gainHigher   = 1.10 // a higher bound must gain this much throughput
-	soon         = 8    // windows at the bound before the first trial
-	seldom       = 256  // and at most, after trials that were in vain
-	backOff      = 4    // times rarer after a trial in vain
-	trialWindows = 2    // of which the first only lets old requests end
-	steadyWeight = 0.3  // of the newest window in the median
+	trialStep        = 0.75 // ratio of a lower trial bound to the current bound
+	minLowerGain     = 0.93 // minimum throughput ratio to accept a lower bound
+	minHigherGain    = 1.10 // minimum throughput ratio to accept a higher bound
+	minTrialInterval = 8    // saturated windows before the first trial
+	maxTrialInterval = 256  // after unsuccessful trials
+	trialBackoff     = 4    // factor after an unsuccessful trial
+	trialWindows     = 2    // the first only lets requests from before the trial end
+	medianWeight     = 0.3  // of the latest window in the moving median
 )
 
-// climb is the state of Climb: it tries a lower or a higher bound for a
-// moment and keeps what serves more, or as much at a lower latency.
+// climb is the state of Climb. A trial applies a lower or a higher bound for a
+// short time, and keeps it if it serves more requests, or nearly as many at a
+// lower latency.
 type climb struct {
-	median float64 // at the kept bound, in seconds
-	every  int     // windows at the bound between trials
-	count  int     // windows at the bound since the last trial
-	upward bool    // direction of the next trial
-	left   int     // windows of the present trial
-	kept   float64 // the bound before the present trial
+	median         float64 // latency at the accepted bound, in seconds
+	trialInterval  int     // saturated windows between trials
+	saturatedCount int     // saturated windows since the last trial
+	upward         bool    // direction of the next trial
+	windowsLeft    int     // windows left of the current trial
+	acceptedBound  float64 // bound before the current trial
 }
 
-// climbWindow judges one window.
+// climbWindow processes one window.
 //
-// What goes wrong with a fixed notion of the usual latency: the service
-// becomes slower by itself, or a few quick requests set the mark too low, and
-// the bound shrinks although no congestion is there. One would see refusals
-// with idle workers. A trial compares throughput at two bounds a moment
-// apart, and a wrong result is taken back by the next trial.
+// Comparing with a fixed baseline latency would shrink the bound without any
+// congestion when the service itself becomes slower, or when a few fast requests
+// set the baseline too low: requests would be refused while workers are idle. A
+// trial compares the throughput at two bounds a short time apart, and a wrong
+// result is corrected by the next trial.
 func (l *Limit) climbWindow(saturated bool, median float64) {
 	c := &l.climb
-	if c.left > 0 {
-		c.left--
-		if c.left == 0 {
+	if c.windowsLeft > 0 {
+		c.windowsLeft--
+		if c.windowsLeft == 0 {
 			l.endTrial(saturated, median)
 		}
 		return
@@ -42,54 +43,54 @@
 	if c.median == 0 {
 		c.median = median
 	}
-	c.median += steadyWeight * (median - c.median)
+	c.median += medianWeight * (median - c.median)
 	if !saturated {
 		return
 	}
-	c.count++
-	if c.count >= max(c.every, soon) {
+	c.saturatedCount++
+	if c.saturatedCount >= max(c.trialInterval, minTrialInterval) {
 		l.beginTrial()
 	}
 }
 
 func (l *Limit) beginTrial() {
 	c := &l.climb
-	c.count = 0
-	c.kept = l.value
+	c.saturatedCount = 0
+	c.acceptedBound = l.value
 	if l.value >= l.max {
 		c.upward = false
 	}
-	tried := l.clamp(l.value * step)
+	trialBound := l.clamp(l.value * trialStep)
 	if c.upward {
-		tried = l.clamp(l.value / step)
+		trialBound = l.clamp(l.value / trialStep)
 	}
-	if tried == l.value {
+	if trialBound == l.value {
 		c.upward = !c.upward
 		return
 	}
-	l.value = tried
-	c.left = trialWindows
+	l.value = trialBound
+	c.windowsLeft = trialWindows
 }
 
-// endTrial keeps the tried bound or returns to the old one. By Little's law
-// the throughput at a bound is the bound by the latency.
+// endTrial accepts the trial bound or restores the former one. By Little's law
+// the throughput at a bound is the bound divided by the latency.
 func (l *Limit) endTrial(saturated bool, median float64) {
 	c := &l.climb
-	gain := (l.value / median) / (c.kept / c.median)
-	needed := keepLower
+	gain := (l.value / median) / (c.acceptedBound / c.median)
+	minGain := minLowerGain
 	if c.upward {
-		needed = gainHigher
+		minGain = minHigherGain
 	}
-	if saturated && gain >= needed {
+	if saturated && gain >= minGain {
 		c.median = median
-		c.every = soon
+		c.trialInterval = minTrialInterval
 		return
 	}
-	l.value = c.kept
+	l.value = c.acceptedBound
 	c.upward = !c.upward
-	c.every = min(backOff*max(c.every, soon), seldom)
+	c.trialInterval = min(trialBackoff*max(c.trialInterval, minTrialInterval), maxTrialInterval)
 }
 
 func (c *climb) scale(factor float64) {
-	c.kept *= factor
+	c.acceptedBound *= factor
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit adapts a bound on concurrency to measured latency, for
-// servers that can't in truth serve as many requests at once as they declare.
+// Package limit adapts a concurrency limit to the measured latency, for servers
+// that can't serve as many concurrent requests as they declare.
 //
 // Usage:
 //
@@ -9,11 +9,11 @@
 //	}
 //	l.Observe(now, inFlight, latency, ok)
 //
-// Latency is the time of service, without any wait in a queue, but for Aim, which
-// bounds just that wait. A window of
-// requests is judged by its median, so that one slow server among several
-// doesn't shrink the bound of all. A Limit holds at most one window of
-// samples. It isn't safe for concurrent use.
+// The latency is the service time without any queueing, except for Aim, which
+// bounds the queueing delay. Each window of requests is represented by its
+// median latency, so that one slow server among several doesn't shrink the bound
+// for all. A Limit holds at most one window of samples. It isn't safe for
+// concurrent use.
 package limit
 
 import (
@@ -25,12 +25,13 @@
 // Constants of a window.
 const (
 	windowTime     = 100 * time.Millisecond
-	windowBound    = 512 // samples kept of one window
-	DefaultSamples = 100 // of a window; fewer say too little about a median
+	maxSamples     = 512 // samples stored for one window
+	DefaultSamples = 100 // for a window; the median of fewer is too noisy
 )
 
-// smallestPart is the part of the largest bound that is always left.
-const smallestPart = 1.0 / 8
+// defaultMinFraction is the default minimum of the bound, as a fraction of its
+// maximum.
+const defaultMinFraction = 1.0 / 8
 
 // Defaults of a Limit.
 const (
@@ -38,23 +39,23 @@
 	DefaultTolerance = 1.5
 )
 
-// Limit is an adaptive bound on concurrency.
+// Limit is an adaptive concurrency limit.
 type Limit struct {
-	algorithm Algorithm
-	max       float64
-	tolerance float64
-	aim       float64 // of Aim, in seconds
-	samples   int     // that a window needs
-	min       float64 // zero for smallestPart of the largest bound
+	algorithm     Algorithm
+	max           float64
+	tolerance     float64
+	targetLatency float64 // in seconds, for Aim
+	minSamples    int     // required for a window
+	min           float64 // zero for defaultMinFraction of max
 
 	value    float64
 	window   window
 	climb    climb
-	baseline float64   // of Gradient and AIMD: usual median latency in seconds
-	cutAt    time.Time // of Aim: requests that were sent before tell of a larger bound
+	baseline float64   // moving median latency in seconds, for Gradient and AIMD
+	shrunkAt time.Time // last decrease by Aim; requests sent earlier are ignored
 }
 
-// window is what was observed since the last judgement.
+// window holds the observations since the last adjustment.
 type window struct {
 	start   time.Time
 	samples []float64
@@ -62,52 +63,51 @@
 	peak    int
 }
 
-// Option changes a Limit.
+// Option configures a Limit.
 type Option func(*Limit)
 
-// WithAlgorithm sets how the bound moves, Climb by default.
+// WithAlgorithm sets the algorithm, Climb by default.
 func WithAlgorithm(a Algorithm) Option {
 	return func(l *Limit) { l.algorithm = a }
 }
 
-// WithMax sets the largest bound, where the Limit also starts.
+// WithMax sets the maximum of the bound, which is also its initial value.
 func WithMax(n int) Option {
 	return func(l *Limit) { l.max = float64(n) }
 }
 
-// WithTolerance sets how many times its baseline the median latency may be
-// before Gradient and AIMD shrink the bound, 1.5 by default.
+// WithTolerance sets the ratio of the median latency to its baseline above which
+// Gradient and AIMD shrink the bound, 1.5 by default.
 func WithTolerance(factor float64) Option {
 	return func(l *Limit) { l.tolerance = factor }
 }
 
-// WithAim has the bound follow the latency that is aimed at; it sets the
-// algorithm Aim.
+// WithAim selects the algorithm Aim with the given target latency.
 func WithAim(latency time.Duration) Option {
 	return func(l *Limit) {
 		l.algorithm = Aim
-		l.aim = latency.Seconds()
+		l.targetLatency = latency.Seconds()
 	}
 }
 
-// WithStart sets the bound at the start, the largest one by default.
+// WithStart sets the initial value of the bound, the maximum by default.
 func WithStart(n int) Option {
 	return func(l *Limit) { l.value = float64(n) }
 }
 
-// WithMin sets the smallest bound, an eighth of the largest one by default.
+// WithMin sets the minimum of the bound, an eighth of the maximum by default.
 func WithMin(n int) Option {
 	return func(l *Limit) { l.min = float64(n) }
 }
 
-// WithSamples sets how many requests a window needs, DefaultSamples by default.
+// WithSamples sets how many samples a window needs, DefaultSamples by default.
 func WithSamples(n int) Option {
-	return func(l *Limit) { l.samples = n }
+	return func(l *Limit) { l.minSamples = n }
 }
 
 // New returns a Limit.
 func New(opts ...Option) *Limit {
-	l := &Limit{max: DefaultMax, tolerance: DefaultTolerance, samples: DefaultSamples}
+	l := &Limit{max: DefaultMax, tolerance: DefaultTolerance, minSamples: DefaultSamples}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -119,28 +119,28 @@
 	return l
 }
 
-// Value returns the bound.
+// Value returns the current bound.
 func (l *Limit) Value() int {
 	return int(l.value + 0.5)
 }
 
-// SetMax changes the largest bound; the bound keeps its proportion to it.
+// SetMax changes the maximum of the bound, and scales the bound in proportion.
 func (l *Limit) SetMax(n int) {
-	largest := math.Max(float64(n), 1)
-	if largest == l.max {
+	newMax := math.Max(float64(n), 1)
+	if newMax == l.max {
 		return
 	}
-	l.climb.scale(largest / l.max)
-	l.value *= largest / l.max
-	l.max = largest
+	l.climb.scale(newMax / l.max)
+	l.value *= newMax / l.max
+	l.max = newMax
 	l.value = l.clamp(l.value)
 }
 
-// Observe takes one finished request into account; inFlight counts it too.
-// ok is false when no answer came in time: its latency counts where it is
-// longer than usual.
+// Observe records one finished request; inFlight includes it. ok is false when
+// no response arrived in time: its latency is then a sample only if it exceeds
+// the moving median.
 func (l *Limit) Observe(now time.Time, inFlight int, latency time.Duration, ok bool) {
-	if l.algorithm == Off || now.Add(-latency).Before(l.cutAt) {
+	if l.algorithm == Off || now.Add(-latency).Before(l.shrunkAt) {
 		return
 	}
 	w := &l.window
@@ -152,37 +152,37 @@
 	if ok || latency.Seconds() > l.climb.median {
 		w.add(latency)
 	}
-	if len(w.samples) < l.samples || now.Sub(w.start) < windowTime {
+	if len(w.samples) < l.minSamples || now.Sub(w.start) < windowTime {
 		return
 	}
-	l.judge(now, w.peak, medianOf(w.samples))
+	l.adjust(now, w.peak, medianOf(w.samples))
 	*w = window{samples: w.samples[:0]}
 }
 
 func (w *window) add(latency time.Duration) {
-	if len(w.samples) < windowBound {
+	if len(w.samples) < maxSamples {
 		w.samples = append(w.samples, latency.Seconds())
 	}
 }
 
-func (l *Limit) judge(now time.Time, peak int, median float64) {
+func (l *Limit) adjust(now time.Time, peak int, median float64) {
 	saturated := peak >= l.Value()
 	switch l.algorithm {
 	case Climb:
 		l.climbWindow(saturated, median)
 	case Gradient, AIMD:
-		l.compareWindow(saturated, median)
+		l.compareWithBaseline(saturated, median)
 	case Aim:
-		l.aimWindow(now, saturated, median)
+		l.adjustToTarget(now, saturated, median)
 	}
 }
 
 func (l *Limit) clamp(v float64) float64 {
-	least := l.min
-	if least == 0 {
-		least = smallestPart * l.max
+	minValue := l.min
+	if minValue == 0 {
+		minValue = defaultMinFraction * l.max
 	}
-	return math.Min(math.Max(v, math.Max(1, least)), l.max)
+	return math.Min(math.Max(v, math.Max(1, minValue)), l.max)
 }
 
 func medianOf(samples []float64) float64 {
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -11,8 +11,8 @@
 
 const declared = 64
 
-// serve drives l for some seconds at full load: latency tells the time of
-// service at a number of requests at once.
+// serve simulates full load for some seconds. latency returns the service time
+// at a number of concurrent requests.
 func serve(l *limit.Limit, now time.Time, seconds int, latency func(n int) time.Duration) time.Time {
 	end := now.Add(time.Duration(seconds) * time.Second)
 	for now.Before(end) {
@@ -26,48 +26,44 @@
 
 func steady(int) time.Duration { return 20 * time.Millisecond }
 
-// crowded slows down with the square of requests beyond 32 at once.
-func crowded(n int) time.Duration {
-	crowd := math.Max(1, float64(n)/32)
-	return time.Duration(crowd * crowd * float64(20*time.Millisecond))
+// congested returns a latency that grows with the square of the concurrent
+// requests beyond 32.
+func congested(n int) time.Duration {
+	overload := math.Max(1, float64(n)/32)
+	return time.Duration(overload * overload * float64(20*time.Millisecond))
 }
 
-// Symptom: throughput far below what the servers can do, at a high latency.
-// Sequence: full load from the start on servers that declare 64 slots and
-// slow down beyond 32.
-// Cause: nothing shows the latency without congestion, so the bound stays.
-func TestShrinksWhereServersCrowd(t *testing.T) {
+// Guards against a bound that stays too high because the latency without
+// congestion was never measured: servers that declare 64 slots and slow down
+// beyond 32 are at full load from the start.
+func TestShrinksUnderCongestion(t *testing.T) {
 	is := is.New(t)
 	l := limit.New(limit.WithMax(declared))
-	serve(l, time.Unix(0, 0), 20, crowded)
+	serve(l, time.Unix(0, 0), 20, congested)
 	is.True(l.Value() <= 40)
 	is.True(l.Value() >= 24)
 }
 
-// Symptom: requests are refused with idle workers.
-// Sequence: the service becomes five times slower by itself under full load;
-// then servers crowd for a while and recover.
-// Cause: a higher latency alone is taken for congestion, or a low bound isn't
-// tried upward again.
+// Guards against taking a higher latency alone for congestion, and against a
+// bound that doesn't grow again: the service itself becomes five times slower
+// under full load, then the servers are congested for a while and recover.
 func TestReturnsToDeclared(t *testing.T) {
 	is := is.New(t)
 	l := limit.New(limit.WithMax(declared))
 	now := serve(l, time.Unix(0, 0), 5, steady)
 	now = serve(l, now, 30, func(int) time.Duration { return 100 * time.Millisecond })
-	is.True(l.Value() >= declared*3/4) // at most a trial is under way
+	is.True(l.Value() >= declared*3/4) // allows for a trial in progress
 
-	now = serve(l, now, 30, crowded)
+	now = serve(l, now, 30, congested)
 	is.True(l.Value() < declared*3/4)
 	serve(l, now, 30, steady)
 	is.True(l.Value() >= declared*3/4)
 }
 
-// Symptom: after an outage the service stays throttled, or nothing is let
-// through.
-// Sequence: all requests time out for ten seconds; latency rises so much with
-// each request that one alone would serve most; workers go and come back.
-// Cause: timeouts shrink the bound, it has no floor, or it doesn't follow the
-// slots.
+// Guards against a bound that shrinks with timeouts, lacks a minimum or doesn't
+// follow the slots: all requests time out for ten seconds; the latency grows so
+// fast with concurrency that a single request would be optimal; workers are lost
+// and return.
 func TestBoundFollowsSlots(t *testing.T) {
 	is := is.New(t)
 	l := limit.New(limit.WithMax(declared))
@@ -90,34 +86,31 @@
 	is.Equal(l.Value(), declared)
 }
 
-// Symptom: nearly every request on a narrow link times out, and is sent again.
-// Sequence: full load on a link that passes 200 requests a second; then it
-// passes ten times as many.
-// Cause: so many are sent at once that they wait longer on the link than their
-// senders do.
+// Guards against congestion collapse on a narrow link, where requests wait
+// longer than their timeout and are sent again: full load on a link of 200
+// requests a second, whose rate then grows tenfold, twice.
 func TestAimKeepsTheQueueShort(t *testing.T) {
 	const aim = 80 * time.Millisecond
 	is := is.New(t)
 	l := limit.New(limit.WithAim(aim), limit.WithMax(256), limit.WithMin(8), limit.WithStart(256), limit.WithSamples(8))
-	queued := func(perSecond int) func(int) time.Duration {
+	linkLatency := func(perSecond int) func(int) time.Duration {
 		return func(n int) time.Duration {
 			return max(4*time.Millisecond, time.Duration(n)*time.Second/time.Duration(perSecond))
 		}
 	}
-	now := serve(l, time.Unix(0, 0), 5, queued(200))
-	is.True(queued(200)(l.Value()) < 2*aim)
-	is.True(l.Value() >= 8) // 40 ms of the link: it doesn't run empty
-	now = serve(l, now, 5, queued(2000))
-	is.True(queued(2000)(l.Value()) < 2*aim)
+	now := serve(l, time.Unix(0, 0), 5, linkLatency(200))
+	is.True(linkLatency(200)(l.Value()) < 2*aim)
+	is.True(l.Value() >= 8) // 40 ms of requests keep the link busy
+	now = serve(l, now, 5, linkLatency(2000))
+	is.True(linkLatency(2000)(l.Value()) < 2*aim)
 	is.True(l.Value() > 60)
-	serve(l, now, 5, queued(20_000))
+	serve(l, now, 5, linkLatency(20_000))
 	is.Equal(l.Value(), 256)
 }
 
-// Symptom: an owner of hundreds of workers starts next to nothing while a
-// fifth of them is cut off.
-// Sequence: of five requests one has no answer for 0.9 s.
-// Cause: the workers' silence is taken for that of the link.
+// Guards against an owner of hundreds of workers that starts next to nothing
+// while a fifth of them is unreachable: one of five requests gets no response
+// for 0.9 s, which must not be taken for congestion of the link.
 func TestAimIsNotMovedByAFewSilentServers(t *testing.T) {
 	is := is.New(t)
 	l := limit.New(limit.WithAim(80*time.Millisecond), limit.WithMax(256), limit.WithMin(8), limit.WithStart(64), limit.WithSamples(8))
