--- a/forward/chooser.go
+++ b/forward/chooser.go
@@ -1,27 +1,26 @@
-// Package forward chooses the peer that a request goes to when the workers of
-// its own instance are full.
+// Package forward chooses the peer to forward a request to when the workers of
+// this instance have no free slot.
 //
 // Usage:
 //
 //	c := forward.New(seed, table.AvailabilityZone)
 //	peer, ok := c.Choose(now, service, hops, table.Peers, nil)
-//	// forward with hops+1; when the peer had no slot after all:
+//	// forward with hops+1; if the peer had no free slot:
 //	c.Refused(now, service, peer.ID)
-//	// when it couldn't be reached or didn't answer:
+//	// if the peer was unreachable or didn't respond:
 //	c.Lost(now, peer.ID)
-//	// with each answer of a peer, where it tells its free slots:
+//	// with each response of a peer that reports its free slots:
 //	c.Heard(now, service, peer.ID, free)
 //
-// What is known of a peer's free slots is always late. It counts for less
-// the older it is, requests sent since it was heard are subtracted, and the
-// choice is random in proportion to what remains, so that instances with the
-// same late information don't all choose the same peer. Peers of the own
-// availability zone go first. When no peer is known to have a free slot, one
-// that was full a while ago may be tried again. A request is forwarded at most
-// once.
+// Information about a peer's free slots is always stale. It is discounted by
+// its age, requests sent since are subtracted, and the choice is random in
+// proportion to the rest, so that instances with the same information don't all
+// choose the same peer. Peers in the same availability zone are preferred. If no
+// peer is known to have a free slot, one that was full a while ago may be tried
+// again. A request is forwarded at most once.
 //
-// A Chooser holds one small entry for each service and peer that was chosen
-// or heard within the age limit. It isn't safe for concurrent use.
+// A Chooser holds one small entry for each service and peer that was chosen or
+// reported within the maximum age. It isn't safe for concurrent use.
 package forward
 
 import (
@@ -34,26 +33,26 @@
 
 // Defaults of a Chooser.
 const (
-	DefaultMaxAge = 10 * time.Second
-	DefaultLeast  = 1.0
-	DefaultAgain  = 100 * time.Millisecond
+	DefaultMaxAge        = 10 * time.Second
+	DefaultMinFree       = 1.0
+	DefaultRetryInterval = 100 * time.Millisecond
 )
 
 // MaxHops is how often one request may be forwarded.
 const MaxHops = 1
 
-// entryBound is the number of entries from which old ones are dropped.
-const entryBound = 256
+// maxEntries is the number of entries at which expired ones are deleted.
+const maxEntries = 256
 
-// Chooser chooses among peers whose load is known late.
+// Chooser chooses among peers on stale information about their load.
 type Chooser struct {
 	random           *rand.Rand
 	availabilityZone string
 	maxAge           time.Duration
-	least            float64
-	again            time.Duration
-	known            map[key]load
-	lost             map[string]time.Time
+	minFree          float64
+	retryInterval    time.Duration
+	loads            map[key]load
+	lostAt           map[string]time.Time
 	weights          []float64 // scratch of Choose
 }
 
@@ -62,32 +61,32 @@
 	peer    string
 }
 
-// load is the newest that is known of a peer.
+// load is the latest known load of a peer.
 type load struct {
-	heard time.Time
-	free  int       // less what was sent since
-	tried time.Time // last choice or refusal
+	reportedAt  time.Time
+	free        int       // minus the requests sent since
+	lastTriedAt time.Time // last choice or refusal
 }
 
-// Option changes a Chooser.
+// Option configures a Chooser.
 type Option func(*Chooser)
 
-// WithMaxAge sets the age from which a peer's load counts for nothing, 10 s by
-// default.
+// WithMaxAge sets the age from which a peer's load is ignored, 10 s by default.
 func WithMaxAge(d time.Duration) Option {
 	return func(c *Chooser) { c.maxAge = d }
 }
 
-// WithLeast sets how many free slots a peer must have, by the discounted
-// count, 1 by default.
-func WithLeast(slots float64) Option {
-	return func(c *Chooser) { c.least = slots }
+// WithMinFree sets the minimum discounted number of free slots that a peer must
+// have to be chosen, 1 by default.
+func WithMinFree(slots float64) Option {
+	return func(c *Chooser) { c.minFree = slots }
 }
 
-// WithAgain sets how long a peer that was full isn't tried again, 100 ms by
-// default; zero is until it is heard.
+// WithAgain sets the minimum time between requests to a peer that was full,
+// 100 ms by default. Zero disables such requests until the peer reports free
+// slots.
 func WithAgain(d time.Duration) Option {
-	return func(c *Chooser) { c.again = d }
+	return func(c *Chooser) { c.retryInterval = d }
 }
 
 // New returns a Chooser for an instance in the given availability zone.
@@ -96,10 +95,10 @@
 		random:           rand.New(rand.NewPCG(seed, seed)),
 		availabilityZone: availabilityZone,
 		maxAge:           DefaultMaxAge,
-		least:            DefaultLeast,
-		again:            DefaultAgain,
-		known:            map[key]load{},
-		lost:             map[string]time.Time{},
+		minFree:          DefaultMinFree,
+		retryInterval:    DefaultRetryInterval,
+		loads:            map[key]load{},
+		lostAt:           map[string]time.Time{},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -108,19 +107,18 @@
 }
 
 // Choose returns the peer to forward a request to, and counts the request as
-// sent there. Hops is how often the request was forwarded already. Peers for
-// which skip reports true are left out.
+// sent there. hops is how often the request was forwarded already. Peers for
+// which skip reports true are ignored.
 func (c *Chooser) Choose(now time.Time, service string, hops int, peers []route.Peer, skip func(peer string) bool) (route.Peer, bool) {
-	// What goes wrong: two full instances forward the same request to each
-	// other on stale information. One would see requests that time out
-	// without ever having reached a worker. The bound ends it.
+	// On stale information, two full instances could forward a request to each
+	// other until it times out without having reached a worker.
 	if hops >= MaxHops {
 		return route.Peer{}, false
 	}
-	for _, weigh := range []weigher{c.near, c.far, c.unsure} {
-		i := c.draw(now, service, peers, weigh, skip)
+	for _, weigh := range []weigher{c.sameZone, c.otherZone, c.lastFull} {
+		i := c.pickWeighted(now, service, peers, weigh, skip)
 		if i >= 0 {
-			c.count(now, service, peers[i])
+			c.recordSent(now, service, peers[i])
 			return peers[i], true
 		}
 	}
@@ -130,37 +128,39 @@
 // weigher returns the weight of a peer in one round of the choice.
 type weigher func(now time.Time, service string, p route.Peer) float64
 
-// near weighs the peers of the own availability zone.
-func (c *Chooser) near(now time.Time, service string, p route.Peer) float64 {
+// sameZone weighs the peers in the availability zone of this instance.
+func (c *Chooser) sameZone(now time.Time, service string, p route.Peer) float64 {
 	if p.AvailabilityZone != c.availabilityZone {
 		return 0
 	}
 	return c.discounted(now, service, p)
 }
 
-// far weighs the other peers.
-func (c *Chooser) far(now time.Time, service string, p route.Peer) float64 {
+// otherZone weighs the peers in other availability zones.
+func (c *Chooser) otherZone(now time.Time, service string, p route.Peer) float64 {
 	if p.AvailabilityZone == c.availabilityZone {
 		return 0
 	}
 	return c.discounted(now, service, p)
 }
 
-// unsure weighs the peers that were full when last heard.
+// lastFull weighs the peers that last reported no free slot.
 //
-// What goes wrong: a peer refuses once in a short peak and then gets nothing
-// until its next heartbeat, seconds later. One would see refusals at one
-// instance while others have free slots. One request is a cheap question.
-func (c *Chooser) unsure(now time.Time, service string, p route.Peer) float64 {
-	l := c.newest(service, p)
-	if c.again == 0 || now.Sub(l.heard) >= c.maxAge || now.Sub(l.tried) < c.again {
+// Without this round, a peer that refused once in a short peak would get no
+// request until its next heartbeat, seconds later, and this instance would
+// refuse requests while the peer has free slots. Probing it with one request is
+// cheap.
+func (c *Chooser) lastFull(now time.Time, service string, p route.Peer) float64 {
+	l := c.latest(service, p)
+	if c.retryInterval == 0 || now.Sub(l.reportedAt) >= c.maxAge || now.Sub(l.lastTriedAt) < c.retryInterval {
 		return 0
 	}
 	return 1
 }
 
-// draw returns the index of a peer in proportion to the weights, or -1.
-func (c *Chooser) draw(now time.Time, service string, peers []route.Peer, weigh weigher, skip func(string) bool) int {
+// pickWeighted returns the index of a random peer, with probabilities in
+// proportion to the weights, or -1.
+func (c *Chooser) pickWeighted(now time.Time, service string, peers []route.Peer, weigh weigher, skip func(string) bool) int {
 	c.weights = c.weights[:0]
 	total := 0.0
 	for _, p := range peers {
@@ -189,27 +189,29 @@
 	return last
 }
 
-// discounted returns the free slots to expect at p, and zero when they are
-// too few.
+// discounted returns the expected number of free slots at p, or zero if it is
+// below the minimum.
 func (c *Chooser) discounted(now time.Time, service string, p route.Peer) float64 {
-	l := c.newest(service, p)
-	free := discount(float64(l.free), now.Sub(l.heard), c.maxAge)
-	if free < c.least {
+	l := c.latest(service, p)
+	free := discount(float64(l.free), now.Sub(l.reportedAt), c.maxAge)
+	if free < c.minFree {
 		return 0
 	}
 	return free
 }
 
-// newest returns the later of p's heartbeat and what an answer told.
-func (c *Chooser) newest(service string, p route.Peer) load {
-	l, ok := c.known[key{service, p.ID}]
-	if !ok || p.Heard.After(l.heard) {
-		return load{heard: p.Heard, free: p.Free[service], tried: l.tried}
+// latest returns the load of p according to its heartbeat or to a response,
+// whichever is later.
+func (c *Chooser) latest(service string, p route.Peer) load {
+	l, ok := c.loads[key{service, p.ID}]
+	if !ok || p.Heard.After(l.reportedAt) {
+		return load{reportedAt: p.Heard, free: p.Free[service], lastTriedAt: l.lastTriedAt}
 	}
 	return l
 }
 
-// discount returns what a number of free slots is worth at an age.
+// discount reduces a number of free slots linearly with its age, to zero at
+// maxAge.
 func discount(free float64, age, maxAge time.Duration) float64 {
 	if free <= 0 || age >= maxAge {
 		return 0
@@ -220,51 +222,51 @@
 	return free * (1 - age.Seconds()/maxAge.Seconds())
 }
 
-func (c *Chooser) count(now time.Time, service string, p route.Peer) {
-	l := c.newest(service, p)
+func (c *Chooser) recordSent(now time.Time, service string, p route.Peer) {
+	l := c.latest(service, p)
 	l.free--
-	l.tried = now
-	c.keep(now, key{service, p.ID}, l)
+	l.lastTriedAt = now
+	c.store(now, key{service, p.ID}, l)
 }
 
-func (c *Chooser) keep(now time.Time, k key, l load) {
-	if len(c.known) >= entryBound {
-		c.forget(now)
+func (c *Chooser) store(now time.Time, k key, l load) {
+	if len(c.loads) >= maxEntries {
+		c.deleteExpired(now)
 	}
-	c.known[k] = l
+	c.loads[k] = l
 }
 
-// forget drops entries that no longer count.
-func (c *Chooser) forget(now time.Time) {
-	maps.DeleteFunc(c.known, func(_ key, l load) bool { return now.Sub(l.heard) >= c.maxAge })
-	maps.DeleteFunc(c.lost, func(_ string, at time.Time) bool { return now.Sub(at) >= c.maxAge })
+// deleteExpired deletes the entries that have reached the maximum age.
+func (c *Chooser) deleteExpired(now time.Time) {
+	maps.DeleteFunc(c.loads, func(_ key, l load) bool { return now.Sub(l.reportedAt) >= c.maxAge })
+	maps.DeleteFunc(c.lostAt, func(_ string, at time.Time) bool { return now.Sub(at) >= c.maxAge })
 }
 
-// Heard takes the free slots that a peer told with an answer.
+// Heard records the free slots that a peer reported with a response.
 func (c *Chooser) Heard(now time.Time, service, peer string, free int) {
 	k := key{service, peer}
-	c.keep(now, k, load{heard: now, free: free, tried: c.known[k].tried})
+	c.store(now, k, load{reportedAt: now, free: free, lastTriedAt: c.loads[k].lastTriedAt})
 }
 
-// Refused tells that a peer had no slot after all.
+// Refused records that a peer had no free slot.
 func (c *Chooser) Refused(now time.Time, service, peer string) {
-	c.keep(now, key{service, peer}, load{heard: now, tried: now})
+	c.store(now, key{service, peer}, load{reportedAt: now, lastTriedAt: now})
 }
 
-// Lost tells that a peer couldn't be reached or didn't answer: it gets nothing
-// until a heartbeat of it is heard.
+// Lost records that a peer was unreachable or didn't respond. The peer is not
+// chosen again until its next heartbeat.
 //
-// What goes wrong: an availability zone is cut off and its peers' last
-// heartbeats still promise free slots. One would see forwarded requests time
-// out one after the other until the heartbeats are too old.
+// If an availability zone is cut off, the last heartbeats of its peers still
+// report free slots, and forwarded requests would time out one after the other
+// until these heartbeats expire.
 func (c *Chooser) Lost(now time.Time, peer string) {
-	if len(c.lost) >= entryBound {
-		c.forget(now)
+	if len(c.lostAt) >= maxEntries {
+		c.deleteExpired(now)
 	}
-	c.lost[peer] = now
+	c.lostAt[peer] = now
 }
 
 func (c *Chooser) isLost(p route.Peer) bool {
-	at, ok := c.lost[p.ID]
+	at, ok := c.lostAt[p.ID]
 	return ok && !p.Heard.After(at)
 }
--- a/forward/chooser_test.go
+++ b/forward/chooser_test.go
@@ -18,9 +18,8 @@
 	return route.Peer{ID: id, AvailabilityZone: zone, Free: map[string]int{service: free}, Heard: start.Add(-age)}
 }
 
-// Symptom: requests go to a far or full peer, or round in circles.
-// Sequence: one choice each, on the information given.
-// Cause: a rule of the choice is missing.
+// Guards each rule of the choice with one request: zone, free slots, age of the
+// information and number of hops.
 func TestChoice(t *testing.T) {
 	old := forward.DefaultMaxAge
 	cases := []struct {
@@ -46,13 +45,10 @@
 	}
 }
 
-// Symptom: a peer is flooded between two heartbeats, or avoided long after it
-// was full once.
-// Sequence: four requests for three free slots; a refusal; time passes; an
-// answer tells of free slots.
-// Cause: what was sent isn't subtracted, or a refusal counts until the next
-// heartbeat.
-func TestCountsWhatItSent(t *testing.T) {
+// Guards against flooding a peer between two heartbeats, and against avoiding it
+// until the next heartbeat after a refusal: four requests for three free slots,
+// a refusal, the retry after a delay, and a response that reports free slots.
+func TestSubtractsSentRequests(t *testing.T) {
 	is := is.New(t)
 	c := forward.New(1, "a")
 	peers := []route.Peer{peer("p", "b", 3, 0)}
@@ -65,18 +61,16 @@
 	}
 	is.True(!choose(start))
 	c.Refused(start, service, "p")
-	is.True(!choose(start.Add(forward.DefaultAgain - 1)))
-	is.True(choose(start.Add(forward.DefaultAgain)))  // asked once
-	is.True(!choose(start.Add(forward.DefaultAgain))) // and not twice
-	c.Heard(start.Add(forward.DefaultAgain), service, "p", 2)
-	is.True(choose(start.Add(forward.DefaultAgain)))
+	is.True(!choose(start.Add(forward.DefaultRetryInterval - 1)))
+	is.True(choose(start.Add(forward.DefaultRetryInterval)))  // tried once
+	is.True(!choose(start.Add(forward.DefaultRetryInterval))) // and not twice
+	c.Heard(start.Add(forward.DefaultRetryInterval), service, "p", 2)
+	is.True(choose(start.Add(forward.DefaultRetryInterval)))
 }
 
-// Symptom: forwarded requests into a cut-off availability zone time out one
-// after the other.
-// Sequence: a peer doesn't answer; its last heartbeat still promises slots;
-// later it is heard again.
-// Cause: lost requests don't count against old heartbeats.
+// Guards against forwarding to a peer that doesn't respond while its last
+// heartbeat still reports free slots. It is chosen again after its next
+// heartbeat.
 func TestLostPeerWaitsForHeartbeat(t *testing.T) {
 	is := is.New(t)
 	c := forward.New(1, "a")
@@ -88,9 +82,9 @@
 	is.True(ok)
 }
 
-// Symptom: all full instances choose the same peer on the same information.
-// Sequence: many instances choose once among peers with 1 to 3 free slots.
-// Cause: the choice is the largest instead of random in proportion.
+// Guards against all full instances choosing the same peer on the same
+// information: many instances choose among peers with 1 to 3 free slots, and
+// must do so in proportion to them.
 func TestSpreadsByFreeSlots(t *testing.T) {
 	is := is.New(t)
 	peers := []route.Peer{peer("1", "a", 1, 0), peer("2", "a", 2, 0), peer("3", "a", 3, 0)}
