--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,10 +1,10 @@
-// Package budget bounds retries and hedges to a part of the first tries, with
-// a small floor so that a quiet service may retry at all.
+// Package budget limits retries and hedges to a fraction of the first attempts,
+// with a small minimum rate so that a service with little traffic can retry.
 //
 // Usage:
 //
 //	b := budget.New(budget.WithRatio(0.1))
-//	b.First(now) // for each first try
+//	b.First(now) // for each first attempt
 //	if b.Take(now) {
 //		// send one retry or hedge
 //	}
@@ -26,10 +26,10 @@
 	DefaultBurst = 50
 )
 
-// tolerance absorbs the rounding of summed ratios.
+// tolerance absorbs the rounding errors of summed ratios.
 const tolerance = 1e-9
 
-// Budget bounds the retries and hedges of one service.
+// Budget limits the retries and hedges of one service.
 type Budget struct {
 	ratio  float64
 	burst  float64
@@ -37,26 +37,26 @@
 	floor  *rate.Limiter
 }
 
-// Option changes a Budget.
+// Option configures a Budget.
 type Option func(*Budget)
 
-// WithRatio sets how many retries each first try allows, 0.1 by default.
+// WithRatio sets how many retries each first attempt allows, 0.1 by default.
 func WithRatio(ratio float64) Option {
 	return func(b *Budget) { b.ratio = ratio }
 }
 
-// WithFloor sets how many retries a second are allowed whatever the first
-// tries, 1 by default.
+// WithFloor sets how many retries per second are allowed regardless of the first
+// attempts, 1 by default.
 func WithFloor(perSecond float64) Option {
 	return func(b *Budget) { b.floor = rate.NewLimiter(rate.Limit(perSecond), 1) }
 }
 
-// WithBurst sets how many retries may be saved up, 50 by default.
+// WithBurst sets how many unused retries may accumulate, 50 by default.
 func WithBurst(n int) Option {
 	return func(b *Budget) { b.burst = float64(n) }
 }
 
-// New returns a Budget that starts with its floor only.
+// New returns a Budget that initially allows the minimum rate only.
 func New(opts ...Option) *Budget {
 	b := &Budget{
 		ratio: DefaultRatio,
@@ -69,17 +69,17 @@
 	return b
 }
 
-// First counts a first try. It is not called for retries, hedges and
-// requests that a peer forwarded: their first try is counted elsewhere.
+// First counts a first attempt. It must not be called for retries, hedges and
+// requests forwarded by a peer, whose first attempt is counted elsewhere.
 func (b *Budget) First(_ time.Time) {
-	// What goes wrong: retries saved up over hours of calm are all spent in
-	// the first second of an outage. One would see the load on the servers
-	// that still answer jump by far more than the ratio. The bound on what
-	// is saved keeps the jump small.
+	// The burst bounds the tokens. Otherwise retries accumulated over hours
+	// of normal operation could be spent in the first second of an outage, and
+	// raise the load on the remaining servers by far more than the ratio.
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Take reports whether one retry or hedge may be sent now, and counts it.
+// Take takes one retry or hedge from the budget, and reports whether it may be
+// sent.
 func (b *Budget) Take(now time.Time) bool {
 	if b.tokens+tolerance >= 1 {
 		b.tokens = max(b.tokens-1, 0)
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -8,17 +8,15 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: an outage is made worse by the load of retries.
-// Sequence: a second of calm or of nothing, then an outage in which every
-// first try fails and every failure asks for retries until it gets none.
-// Cause: retries aren't bounded by first tries, or were saved up without a
-// bound.
+// Guards against retries that aren't bounded by the first attempts, or that
+// accumulate without a bound: after a calm period, in an outage, every first
+// attempt fails and takes retries until the budget denies one.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	cases := []struct {
-		name   string
-		calm   int // first tries before the outage
-		outage int // first tries in its one second
-		most   int
+		name    string
+		calm    int // first attempts before the outage
+		outage  int // first attempts in the one second of the outage
+		maxSent int
 	}{
 		{"nothing but the floor", 0, 0, 2},
 		{"ratio and floor", 0, 100, 12},
@@ -40,13 +38,14 @@
 				}
 				sent += takeAll(b, now)
 			}
-			is.True(sent <= c.most)      // bounded
-			is.True(sent >= c.outage/10) // and the ratio is given
+			is.True(sent <= c.maxSent)
+			is.True(sent >= c.outage/10) // the ratio is granted
 		})
 	}
 }
 
-// takeAll takes what it gets, up to a thousand.
+// takeAll takes retries until one is denied, at most 1000, and returns their
+// number.
 func takeAll(b *budget.Budget, now time.Time) int {
 	for n := range 1000 {
 		if !b.Take(now) {
--- a/route/table.go
+++ b/route/table.go
@@ -1,19 +1,20 @@
-// Package route holds the immutable snapshot that control publishes and
-// traffic reads: services, the replicas on this instance's own workers, and
-// the peers that requests may be forwarded to.
+// Package route defines the routing table, an immutable snapshot that the
+// control side publishes and the traffic side reads: the services, the replicas
+// on this instance's own workers, and the peers that requests may be forwarded
+// to.
 //
 // Usage:
 //
-//	pointer.Store(table)            // control
-//	table := pointer.Load()         // traffic, once per request
+//	pointer.Store(table)            // control side
+//	table := pointer.Load()         // traffic side, once per request
 //	service, ok := table.Services[name]
 //
-// A Table is never changed after it was published.
+// A Table must not be changed after it was published.
 package route
 
 import "time"
 
-// Table is one snapshot.
+// Table is a snapshot of the routing information.
 type Table struct {
 	Instance         string
 	AvailabilityZone string
@@ -24,15 +25,15 @@
 	Peers            []Peer
 }
 
-// Service is what routing needs to know of a service.
+// Service holds the routing settings of a service.
 type Service struct {
 	Name       string
 	Group      string
-	Weight     float64       // the group's part of shared slots under overload
-	Timeout    time.Duration // default deadline of a request
-	Idempotent bool          // every method may be repeated
-	Queue      int           // bound on requests that wait here
-	Slots      int           // slots the group may hold on this instance
+	Weight     float64       // of the group when slots are shared under overload
+	Timeout    time.Duration // of a request without a deadline
+	Idempotent bool          // requests of every method may be retried
+	Queue      int           // maximum number of requests waiting at this instance
+	Slots      int           // maximum number of slots of the group on this instance
 }
 
 // Backend is a replica of a service on an owned worker.
@@ -41,7 +42,7 @@
 	Address          string // host:port
 	AvailabilityZone string
 	Epoch            uint64    // the lease's epoch, sent with each request
-	Until            time.Time // the lease may not be used from then on (monotonic clock)
+	Until            time.Time // the lease must not be used from then on (monotonic clock)
 	Slots            int
 }
 
@@ -50,6 +51,6 @@
 	ID               string
 	Address          string // host:port of its peer listener
 	AvailabilityZone string
-	Free             map[string]int // free slots by service, when heard
-	Heard            time.Time
+	Free             map[string]int // free slots by service, as of Heard
+	Heard            time.Time      // when the peer's last heartbeat arrived
 }
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,19 +1,19 @@
-// Package throttle decides how fast the tasks that fill a worker's idle
-// processors may work beside those that serve users.
+// Package throttle computes how fast the filling tasks, which use the idle
+// processors of a worker, may run beside its serving tasks.
 //
 // Usage:
 //
-//	speeds := throttle.Speeds(room, tasks)
+//	speeds := throttle.Speeds(maxPressure, tasks)
 //	for i, s := range speeds {
 //		pace(tasks[i], s) // 0 to 1
 //	}
 //
-// Each serving task has room for some pressure: the slack that is left to it at
-// its target. A filling task takes of it in proportion to the speed it works
-// at, more from some serving tasks than from others. What is asked for is the
-// most work that keeps all serving tasks within their room. Slowing the task
-// that presses most for the work it does costs the least work, so that one is
-// slowed first, down to a stand, then the next one.
+// Each serving task tolerates some pressure, the slack left until its latency
+// target. A filling task exerts pressure in proportion to its speed, on some
+// serving tasks more than on others. The speeds maximize the work done by filling
+// tasks while no serving task gets more pressure than it tolerates. Slowing the
+// task with the most pressure per work loses the least work, so it is slowed
+// first, down to a stop, then the next one.
 package throttle
 
 import (
@@ -27,26 +27,26 @@
 	Share    float64   // of the worker's processors that it uses at full speed
 }
 
-// Speeds returns the share of full speed at which each task may work, for
-// the room that each serving task has for pressure.
-func Speeds(room []float64, tasks []Task) []float64 {
+// Speeds returns the fraction of full speed at which each task may run.
+// maxPressure is the pressure that each serving task tolerates.
+func Speeds(maxPressure []float64, tasks []Task) []float64 {
 	speeds := make([]float64, len(tasks))
 	for i := range speeds {
 		speeds[i] = 1
 	}
-	for i, left := range room {
-		relieve(i, left, tasks, speeds)
+	for i, limit := range maxPressure {
+		relieve(i, limit, tasks, speeds)
 	}
 	return speeds
 }
 
-// relieve slows tasks until the pressure on one serving task is within its
-// room, those that press it most for their work first, the later ones first
-// among equals.
-func relieve(served int, room float64, tasks []Task, speeds []float64) {
-	excess := -max(0, room)
+// relieve slows tasks until the pressure on one serving task is at most
+// maxPressure, in the order of decreasing intensity, and the later ones first among
+// equals.
+func relieve(serving int, maxPressure float64, tasks []Task, speeds []float64) {
+	excess := -max(0, maxPressure)
 	for j := range tasks {
-		excess += tasks[j].Pressure[served] * speeds[j]
+		excess += tasks[j].Pressure[serving] * speeds[j]
 	}
 	if excess <= 0 {
 		return
@@ -56,23 +56,24 @@
 		order[j] = len(tasks) - 1 - j
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Compare(tasks[b].intensity(served), tasks[a].intensity(served))
+		return cmp.Compare(tasks[b].intensity(serving), tasks[a].intensity(serving))
 	})
 	for _, j := range order {
-		p := tasks[j].Pressure[served]
+		p := tasks[j].Pressure[serving]
 		if excess <= 0 || p <= 0 {
 			return
 		}
-		less := min(speeds[j], excess/p)
-		speeds[j] -= less
-		excess -= less * p
+		reduction := min(speeds[j], excess/p)
+		speeds[j] -= reduction
+		excess -= reduction * p
 	}
 }
 
-// intensity returns how much a task presses a serving one for the work it does.
-func (t *Task) intensity(served int) float64 {
-	return t.Pressure[served] / max(t.Share, leastShare)
+// intensity returns the pressure of a task on a serving task per share of the
+// processors.
+func (t *Task) intensity(serving int) float64 {
+	return t.Pressure[serving] / max(t.Share, minShare)
 }
 
-// leastShare keeps the intensity of a task without work finite.
-const leastShare = 1e-3
+// minShare keeps the intensity of a task without a share finite.
+const minShare = 1e-3
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -15,10 +15,10 @@
 	heavy := throttle.Task{Share: 0.1, Pressure: []float64{1.0}}
 	twice := throttle.Task{Share: 0.2, Pressure: []float64{2.0}}
 	tests := []struct {
-		name  string
-		room  []float64
-		tasks []throttle.Task
-		want  []float64
+		name        string
+		maxPressure []float64
+		tasks       []throttle.Task
+		want        []float64
 	}{
 		{"no serving task", nil, []throttle.Task{{Share: 0.1}}, []float64{1}},
 		{"room for all", []float64{1.2}, []throttle.Task{heavy, light}, []float64{1, 1}},
@@ -36,7 +36,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			got := throttle.Speeds(test.room, test.tasks)
+			got := throttle.Speeds(test.maxPressure, test.tasks)
 			is.Equal(len(got), len(test.want))
 			for i := range got {
 				is.True(math.Abs(got[i]-test.want[i]) < 1e-9)
@@ -45,30 +45,31 @@
 	}
 }
 
-// No serving task gets more pressure than it has room for, whatever the mix.
-func TestSpeedsKeepWithinRoom(t *testing.T) {
+// No serving task gets more pressure than it tolerates, for random mixes of
+// tasks.
+func TestSpeedsKeepPressureWithinBounds(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		room := make([]float64, 1+rng.IntN(5))
-		for i := range room {
-			room[i] = 3*rng.Float64() - 0.5
+		maxPressure := make([]float64, 1+rng.IntN(5))
+		for i := range maxPressure {
+			maxPressure[i] = 3*rng.Float64() - 0.5
 		}
 		tasks := make([]throttle.Task, rng.IntN(8))
 		for j := range tasks {
 			tasks[j].Share = 0.2 * rng.Float64()
-			for range room {
+			for range maxPressure {
 				tasks[j].Pressure = append(tasks[j].Pressure, 15*rng.Float64()*tasks[j].Share)
 			}
 		}
-		speeds := throttle.Speeds(room, tasks)
-		for i := range room {
+		speeds := throttle.Speeds(maxPressure, tasks)
+		for i := range maxPressure {
 			total := 0.0
 			for j := range tasks {
 				is.True(speeds[j] >= 0 && speeds[j] <= 1)
 				total += speeds[j] * tasks[j].Pressure[i]
 			}
-			is.True(total <= max(0, room[i])+1e-9)
+			is.True(total <= max(0, maxPressure[i])+1e-9)
 		}
 	}
 }
