--- a/client/client.go
+++ b/client/client.go
@@ -1,25 +1,26 @@
-// Package client reaches the platform over HTTP: its log service, its
-// instance list and its workers.
+// Package client implements HTTP clients of the platform's log service, instance
+// list and workers.
 //
 // Usage:
 //
 //	log := client.NewLog("127.0.0.1:7001", client.WithTimeout(time.Second))
 //	first, err := log.Append(ctx, "zone/a", records)
 //	if fault.Is(err, fault.MayHaveRun) {
-//		// read on until the record is found or can't come any more
+//		// read on until the record is found or can no longer be appended
 //	}
 //
-// Every call has a deadline and every body a bound. What an error says about
-// the call depends on how far it got:
+// Every call has a timeout and every body a size bound. The kind of an error
+// depends on how far the call got:
 //
-//   - never sent (refused, no route, no connection in time): fault.Unavailable,
-//     or fault.DeadlinePassed when the caller's own context ended;
-//   - refused by the peer: the peer's kind;
-//   - sent, and no whole answer: fault.MayHaveRun where the call has an effect,
-//     fault.Unavailable where it only reads.
+//   - never sent (connection refused, no route, no connection in time):
+//     fault.Unavailable, or fault.DeadlinePassed when the caller's own context
+//     ended;
+//   - refused by the server: the kind in the refusal;
+//   - sent without a complete response: fault.MayHaveRun if the call has an
+//     effect, fault.Unavailable if it only reads.
 //
-// Calls that only read are repeated once on a new connection, in case the
-// first one went silent. Calls with an effect are never repeated here.
+// Calls that only read are retried once on a new connection, in case the first
+// connection is dead. Calls with an effect are never retried by this package.
 package client
 
 import (
@@ -34,7 +35,7 @@
 	DefaultConnections = 4
 )
 
-// Option changes a client.
+// Option configures a client.
 type Option func(*options)
 
 // DialFunc opens a connection.
@@ -46,7 +47,8 @@
 	dial        DialFunc
 }
 
-// WithTimeout bounds each try of a call, on top of the context's deadline.
+// WithTimeout bounds each attempt of a call, in addition to the context's
+// deadline.
 func WithTimeout(d time.Duration) Option {
 	return func(o *options) { o.timeout = d }
 }
@@ -56,7 +58,8 @@
 	return func(o *options) { o.connections = n }
 }
 
-// WithDial replaces how connections are opened, for tests in memory.
+// WithDial sets the function that opens connections, for in-memory networks in
+// tests.
 func WithDial(dial DialFunc) Option {
 	return func(o *options) { o.dial = dial }
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -34,7 +34,8 @@
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// inBubble runs test in virtual time with s listening at "peer".
+// inBubble runs test in a synctest bubble, with the server that s returns
+// listening at "peer".
 func inBubble(t *testing.T, s func() server, test func(t *testing.T, s server, opts []client.Option)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memory.New()
@@ -56,11 +57,9 @@
 	return logservice.New()
 }
 
-// Symptom: a record shows up in the stream after its writer had decided that
-// it wasn't there.
-// Sequence: an append is sent; the writer gives up waiting; it reads the
-// stream, which lacks the record; the log service accepts it.
-// Cause: an append without an answer is taken for one without effect.
+// Guards against taking an append without a response for one without effect: the
+// log service accepts the record after the writer has timed out and read the
+// stream without finding it.
 func TestLateAppend(t *testing.T) {
 	inBubble(t, newLogService, func(t *testing.T, s server, opts []client.Option) {
 		is := is.New(t)
@@ -72,16 +71,16 @@
 		is.NoErr(err)
 		is.Equal(len(page.Entries), 0)
 
-		page, err = log.Read(t.Context(), stream, 0, 10, 10*time.Second) // a waiting read sees it come
+		page, err = log.Read(t.Context(), stream, 0, 10, 10*time.Second) // a waiting read returns it
 		is.NoErr(err)
 		is.Equal(len(page.Entries), 1)
 		is.Equal(string(page.Entries[0].Data), "late")
 	})
 }
 
-// Symptom: a record stands twice in the stream.
-// Sequence: an append takes effect; the connection breaks before its answer.
-// Cause: the client repeats a call that has an effect, or calls it not run.
+// Guards against a duplicated record: an append takes effect and its connection
+// breaks before the response. The client must neither retry the call nor report
+// it as not run.
 func TestLostAnswer(t *testing.T) {
 	inBubble(t, newLogService, func(t *testing.T, s server, opts []client.Option) {
 		is := is.New(t)
@@ -90,7 +89,7 @@
 		_, err := log.Append(t.Context(), stream, [][]byte{[]byte("once")})
 		is.True(fault.Is(err, fault.MayHaveRun))
 		_, err = log.Read(t.Context(), stream, 0, 10, 0)
-		is.True(fault.Is(err, fault.Unavailable)) // a read has no effect that could have run
+		is.True(fault.Is(err, fault.Unavailable)) // a read has no effect
 
 		s.(*logservice.Service).Set(logservice.Faults{})
 		page, err := log.Read(t.Context(), stream, 0, 10, 0)
@@ -99,10 +98,9 @@
 	})
 }
 
-// Symptom: every call to a peer that is well runs into its deadline.
-// Sequence: several connections are open and idle; something between the ends
-// forgets them; calls go out on them one after the other.
-// Cause: a call that timed out leaves the other idle connections in use.
+// Guards against calls to a healthy server that time out one after the other: a
+// middlebox loses the state of several idle connections, and a call that times
+// out on one of them must close the others.
 func TestSilentConnection(t *testing.T) {
 	inBubble(t, newLogService, func(t *testing.T, s server, opts []client.Option) {
 		is := is.New(t)
@@ -113,8 +111,8 @@
 		s.(*logservice.Service).Set(logservice.Faults{Common: faults.Common{Silent: true}})
 		start := time.Now()
 		_, err := log.Read(t.Context(), stream, 0, 10, 0)
-		is.NoErr(err)                        // repeated on a new connection
-		is.Equal(time.Since(start), timeout) // after one deadline
+		is.NoErr(err)                        // retried on a new connection
+		is.Equal(time.Since(start), timeout) // after one timeout
 		_, err = log.Append(t.Context(), stream, [][]byte{[]byte("a")})
 		is.NoErr(err)
 
@@ -128,7 +126,7 @@
 	})
 }
 
-// openConnections leaves several idle connections by calls at the same time.
+// openConnections leaves several idle connections, by concurrent calls.
 func openConnections(t *testing.T, log provider.Log) {
 	page, err := log.Read(t.Context(), stream, 0, 1, 0)
 	is.New(t).NoErr(err)
@@ -141,17 +139,15 @@
 	calls.Wait()
 }
 
-// Symptom: a slow log service looks like one that lost its answers.
-// Sequence: an append is sent; the writer gives up before the service takes
-// it up.
-// Cause: the stand-in carries out what nobody waits for any more.
+// Guards against a stand-in that still processes an append after its client has
+// disconnected: the writer times out before the slow service handles the append.
 func TestSlowAppend(t *testing.T) {
 	inBubble(t, newLogService, func(t *testing.T, s server, opts []client.Option) {
 		is := is.New(t)
 		log := client.NewLog("peer", opts...)
 		s.(*logservice.Service).Set(logservice.Faults{Common: faults.Common{Slow: faults.Duration(5 * time.Second)}})
 		_, err := log.Append(t.Context(), stream, [][]byte{{1}})
-		is.True(fault.Is(err, fault.MayHaveRun)) // the client can't know better
+		is.True(fault.Is(err, fault.MayHaveRun)) // the client can't know whether it ran
 		s.(*logservice.Service).Set(logservice.Faults{})
 		time.Sleep(10 * time.Second)
 		page, err := log.Read(t.Context(), stream, 0, 10, 0)
@@ -183,10 +179,8 @@
 	})
 }
 
-// Symptom: a caller is told that work did not run, or when to come back, and
-// neither is true.
-// Sequence: a call fails before it is sent, is refused, or is lost.
-// Cause: the three are reported alike.
+// Guards against wrong fault kinds of calls that fail before they are sent or
+// that the server refuses.
 func TestKinds(t *testing.T) {
 	inBubble(t, newLogService, func(t *testing.T, s server, opts []client.Option) {
 		is := is.New(t)
@@ -195,7 +189,7 @@
 		log := client.NewLog("peer", opts...)
 		s.(*logservice.Service).Set(logservice.Faults{Common: faults.Common{Down: true}})
 		_, err = log.Append(t.Context(), stream, [][]byte{{1}})
-		is.True(fault.Is(err, fault.Unavailable)) // the peer's own refusal
+		is.True(fault.Is(err, fault.Unavailable)) // refused by the server
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err = log.Append(ended, stream, [][]byte{{1}})
@@ -219,9 +213,9 @@
 	})
 }
 
-// Symptom: a broken answer ends the process or is taken for a good one.
-// Sequence: the peer answers with something else than it should.
-// Cause: bodies are read without a bound, or statuses without a look.
+// Guards against invalid responses that exhaust the memory or are taken for
+// valid ones: the server sends an unexpected status, a redirect, garbage, an
+// endless or a truncated body.
 func TestBadAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -279,10 +273,9 @@
 	return s.Serve(l)
 }
 
-// Symptom: each instance reads the whole list every second, a quarter of a
-// megabyte at 1,100 workers; or goes on with an old list.
-// Sequence: the list is read, read again, changed and read.
-// Cause: what the reader has is sent again, or taken for new.
+// Guards against transferring an unchanged list, a quarter of a megabyte at
+// 1,100 workers that each instance reads every second, and against using an
+// outdated one.
 func TestListIsSentWhenItChanged(t *testing.T) {
 	is := is.New(t)
 	instances := instancelist.New()
--- a/client/list.go
+++ b/client/list.go
@@ -12,13 +12,13 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// list keeps the newest list with its entity tag, since it is asked for often
-// and changes seldom.
+// list caches the latest instance list with its entity tag, since the list is
+// read often and changes rarely.
 type list struct {
 	peer *peer
 
 	mu        sync.Mutex
-	tag       string
+	etag      string
 	instances []provider.Instance
 }
 
@@ -28,34 +28,34 @@
 }
 
 func (l *list) Instances(ctx context.Context) ([]provider.Instance, error) {
-	tag, known := l.known()
-	c := call{method: http.MethodGet, path: wire.PathInstances, tag: tag, limit: wire.MaxControl}
-	a, err := l.peer.do(ctx, c)
+	tag, known := l.cached()
+	c := call{method: http.MethodGet, path: wire.PathInstances, etag: tag, maxResponseBytes: wire.MaxControl}
+	resp, err := l.peer.do(ctx, c)
 	switch {
 	case err != nil:
 		return nil, err
-	case a.refusal != nil:
-		return nil, a.refusal
-	case a.same && tag != "":
+	case resp.refusal != nil:
+		return nil, resp.refusal
+	case resp.notModified && tag != "":
 		return known, nil
 	}
 	var instances []provider.Instance
-	if err := json.Unmarshal(a.body, &instances); err != nil {
+	if err := json.Unmarshal(resp.body, &instances); err != nil {
 		return nil, fault.Wrap(fault.Unavailable, err, "instance list")
 	}
-	l.learn(a.tag, instances)
+	l.store(resp.etag, instances)
 	return slices.Clone(instances), nil
 }
 
-func (l *list) known() (string, []provider.Instance) {
+func (l *list) cached() (string, []provider.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tag, slices.Clone(l.instances)
+	return l.etag, slices.Clone(l.instances)
 }
 
-func (l *list) learn(tag string, instances []provider.Instance) {
+func (l *list) store(tag string, instances []provider.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tag = tag
+	l.etag = tag
 	l.instances = instances
 }
--- a/client/log.go
+++ b/client/log.go
@@ -34,23 +34,23 @@
 		return 0, fault.New(fault.TooLarge, "append of %d bytes, limit %d", len(body), wire.MaxAppend)
 	}
 	c := call{
-		method: http.MethodPost,
-		path:   streamPath(stream),
-		media:  wire.TypeCBOR,
-		body:   body,
-		effect: true,
-		limit:  wire.MaxRefusal,
+		method:           http.MethodPost,
+		path:             streamPath(stream),
+		contentType:      wire.TypeCBOR,
+		body:             body,
+		hasEffect:        true,
+		maxResponseBytes: wire.MaxRefusal,
 	}
-	a, err := l.peer.do(ctx, c)
+	resp, err := l.peer.do(ctx, c)
 	if err != nil {
 		return 0, err
 	}
-	if a.refusal != nil {
-		return 0, a.refusal
+	if resp.refusal != nil {
+		return 0, resp.refusal
 	}
 	var appended wire.Appended
-	if err := json.Unmarshal(a.body, &appended); err != nil {
-		return 0, l.peer.explain(ctx, err, c, true)
+	if err := json.Unmarshal(resp.body, &appended); err != nil {
+		return 0, l.peer.callFault(ctx, err, c, true)
 	}
 	return appended.First, nil
 }
@@ -68,25 +68,25 @@
 			"limit": {strconv.Itoa(limit)},
 			"wait":  {wait.String()},
 		},
-		wait:  wait,
-		limit: wire.MaxPage,
+		serverWait:       wait,
+		maxResponseBytes: wire.MaxPage,
 	}
-	a, err := l.peer.do(ctx, c)
+	resp, err := l.peer.do(ctx, c)
 	if err != nil {
 		return provider.Page{}, err
 	}
-	return readPage(a)
+	return readPage(resp)
 }
 
-func readPage(a answer) (provider.Page, error) {
-	if a.refusal != nil && a.refusal.Kind != fault.Expired {
-		return provider.Page{}, a.refusal
+func readPage(resp response) (provider.Page, error) {
+	if resp.refusal != nil && resp.refusal.Kind != fault.Expired {
+		return provider.Page{}, resp.refusal
 	}
-	page, err := wire.DecodePage(a.body)
+	page, err := wire.DecodePage(resp.body)
 	if err != nil {
 		return provider.Page{}, fault.Wrap(fault.Unavailable, err, "answer of the log service")
 	}
-	if a.refusal != nil {
+	if resp.refusal != nil {
 		return page, fault.New(fault.Expired, "oldest offset kept is %d", page.Oldest)
 	}
 	return page, nil
--- a/client/peer.go
+++ b/client/peer.go
@@ -18,10 +18,10 @@
 const (
 	connectionsFactor = 4 // open connections allowed per kept one
 	idleTimeout       = 30 * time.Second
-	readTries         = 2
+	maxReadAttempts   = 2
 )
 
-// peer is one address with its connections.
+// peer is a server with the connections to it.
 type peer struct {
 	address   string
 	timeout   time.Duration
@@ -29,25 +29,25 @@
 	client    *http.Client
 }
 
-// call is one request. A call without effect may be repeated.
+// call is one request. A call without an effect may be retried.
 type call struct {
-	method string
-	path   string
-	query  url.Values
-	media  string
-	body   []byte
-	tag    string // entity tag of what the caller has
-	effect bool
-	wait   time.Duration // how long the peer may hold the answer back
-	limit  int64         // bound on the answer's body
+	method           string
+	path             string
+	query            url.Values
+	contentType      string
+	body             []byte
+	etag             string // entity tag of the caller's copy
+	hasEffect        bool
+	serverWait       time.Duration // how long the server may delay the response
+	maxResponseBytes int64         // on the size of the response body
 }
 
-// answer is a whole answer that isn't a refusal, or one with its refusal.
-type answer struct {
-	body    []byte
-	tag     string // entity tag
-	same    bool   // the caller has it already
-	refusal *fault.Error
+// response is a complete response, with its refusal if it is one.
+type response struct {
+	body        []byte
+	etag        string
+	notModified bool // the caller's copy is current
+	refusal     *fault.Error
 }
 
 func newPeer(address string, opts []Option) *peer {
@@ -58,7 +58,7 @@
 		IdleConnTimeout:       idleTimeout,
 		MaxIdleConnsPerHost:   o.connections,
 		MaxConnsPerHost:       o.connections * connectionsFactor,
-		ResponseHeaderTimeout: 0, // the deadline of each try covers it
+		ResponseHeaderTimeout: 0, // the timeout of each attempt covers it
 	}
 	return &peer{
 		address:   address,
@@ -68,41 +68,41 @@
 	}
 }
 
-// do sends c, and once more on a new connection where that can't do harm.
-func (p *peer) do(ctx context.Context, c call) (answer, error) {
-	tries := readTries
-	if c.effect {
-		tries = 1
+// do sends c, and retries it once on a new connection if it has no effect.
+func (p *peer) do(ctx context.Context, c call) (response, error) {
+	attempts := maxReadAttempts
+	if c.hasEffect {
+		attempts = 1
 	}
-	var a answer
+	var resp response
 	var err error
-	for range tries {
-		a, err = p.try(ctx, c)
+	for range attempts {
+		resp, err = p.attempt(ctx, c)
 		if err == nil || ctx.Err() != nil {
-			return a, err
+			return resp, err
 		}
 	}
-	return a, err
+	return resp, err
 }
 
-func (p *peer) try(ctx context.Context, c call) (answer, error) {
-	tryContext, cancel := context.WithTimeout(ctx, p.timeout+c.wait)
+func (p *peer) attempt(ctx context.Context, c call) (response, error) {
+	attemptCtx, cancel := context.WithTimeout(ctx, p.timeout+c.serverWait)
 	defer cancel()
 	var sent atomic.Bool
-	request, err := p.request(traceSent(tryContext, &sent), c)
+	request, err := p.request(traceSent(attemptCtx, &sent), c)
 	if err != nil {
-		return answer{}, fault.Wrap(fault.Invalid, err, "make request")
+		return response{}, fault.Wrap(fault.Invalid, err, "make request")
 	}
-	a, err := p.exchange(request, c.limit)
+	resp, err := p.exchange(request, c.maxResponseBytes)
 	if err == nil {
-		return a, nil
+		return resp, nil
 	}
-	// A connection can go silent for good while new ones work; one would
-	// notice every call of a peer running into its deadline although the peer
-	// is well. Idle connections may share the broken path, so they are closed
-	// and the next try opens a new one.
+	// A connection can go dead while new ones work. Idle connections may share
+	// the broken path, and calls on them would time out one after the other
+	// although the server is healthy. So they are closed, and the next attempt
+	// opens a new connection.
 	p.transport.CloseIdleConnections()
-	return answer{}, p.explain(ctx, err, c, sent.Load())
+	return response{}, p.callFault(ctx, err, c, sent.Load())
 }
 
 func (p *peer) request(ctx context.Context, c call) (*http.Request, error) {
@@ -111,43 +111,43 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.media != "" {
-		request.Header.Set("Content-Type", c.media)
+	if c.contentType != "" {
+		request.Header.Set("Content-Type", c.contentType)
 	}
-	if c.tag != "" {
-		request.Header.Set("If-None-Match", c.tag)
+	if c.etag != "" {
+		request.Header.Set("If-None-Match", c.etag)
 	}
 	return request, nil
 }
 
-func (p *peer) exchange(request *http.Request, limit int64) (answer, error) {
-	response, err := p.client.Do(request)
+func (p *peer) exchange(request *http.Request, limit int64) (response, error) {
+	resp, err := p.client.Do(request)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if int64(len(body)) > limit {
-		return answer{}, fault.New(fault.TooLarge, "answer above %d bytes", limit)
+		return response{}, fault.New(fault.TooLarge, "answer above %d bytes", limit)
 	}
-	if refusal := wire.ParseRefusal(response.Header, body); refusal != nil {
-		return answer{body: body, refusal: refusal}, nil
+	if refusal := wire.ParseRefusal(resp.Header, body); refusal != nil {
+		return response{body: body, refusal: refusal}, nil
 	}
-	if response.StatusCode == http.StatusNotModified {
-		return answer{tag: response.Header.Get("ETag"), same: true}, nil
+	if resp.StatusCode == http.StatusNotModified {
+		return response{etag: resp.Header.Get("ETag"), notModified: true}, nil
 	}
-	if response.StatusCode/100 != 2 {
-		return answer{}, fault.New(fault.Unavailable, "unexpected status %d", response.StatusCode)
+	if resp.StatusCode/100 != 2 {
+		return response{}, fault.New(fault.Unavailable, "unexpected status %d", resp.StatusCode)
 	}
-	return answer{body: body, tag: response.Header.Get("ETag")}, nil
+	return response{body: body, etag: resp.Header.Get("ETag")}, nil
 }
 
-func (p *peer) explain(ctx context.Context, cause error, c call, sent bool) error {
+func (p *peer) callFault(ctx context.Context, cause error, c call, sent bool) error {
 	switch {
-	case sent && c.effect:
+	case sent && c.hasEffect:
 		return fault.Wrap(fault.MayHaveRun, cause, "no answer from %s to %s", p.address, c.path)
 	case sent:
 		return fault.Wrap(fault.Unavailable, cause, "no answer from %s to %s", p.address, c.path)
@@ -158,9 +158,9 @@
 	}
 }
 
-// json sends in as JSON and reads the answer into out; nil leaves either out.
+// json sends in as JSON and decodes the response into out. Either may be nil.
 func (p *peer) json(ctx context.Context, c call, in, out any) error {
-	c.limit = wire.MaxControl
+	c.maxResponseBytes = wire.MaxControl
 	if in != nil {
 		body, err := json.Marshal(in)
 		if err != nil {
@@ -169,27 +169,27 @@
 		if len(body) > wire.MaxControl {
 			return fault.New(fault.TooLarge, "body of %d bytes, limit %d", len(body), wire.MaxControl)
 		}
-		c.body, c.media = body, wire.TypeJSON
+		c.body, c.contentType = body, wire.TypeJSON
 	}
-	a, err := p.do(ctx, c)
+	resp, err := p.do(ctx, c)
 	if err != nil {
 		return err
 	}
-	if a.refusal != nil {
-		return a.refusal
+	if resp.refusal != nil {
+		return resp.refusal
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(a.body, out); err != nil {
-		return p.explain(ctx, err, c, true)
+	if err := json.Unmarshal(resp.body, out); err != nil {
+		return p.callFault(ctx, err, c, true)
 	}
 	return nil
 }
 
-// traceSent keeps sent true while a request holds a connection. The
-// transport asks for another connection only when nothing was written to the
-// first or the request has no effect, so asking again clears it.
+// traceSent sets sent while the request holds a connection. The transport gets
+// another connection only when nothing was written to the first or the request
+// has no effect, so getting one clears sent.
 func traceSent(ctx context.Context, sent *atomic.Bool) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GetConn: func(string) { sent.Store(false) },
--- a/client/registrar.go
+++ b/client/registrar.go
@@ -8,8 +8,8 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Registrar changes the stand-in of the instance list, where no platform
-// keeps the list by itself.
+// Registrar updates the stand-in of the instance list, in deployments without a
+// platform that maintains the list.
 type Registrar struct {
 	peer *peer
 }
@@ -19,15 +19,15 @@
 	return &Registrar{peer: newPeer(address, opts)}
 }
 
-// Put lists an instance, or changes its entry.
+// Put adds an instance to the list, or replaces its entry.
 func (r *Registrar) Put(ctx context.Context, instance provider.Instance) error {
-	c := call{method: http.MethodPut, path: instancePath(instance.ID), effect: true}
+	c := call{method: http.MethodPut, path: instancePath(instance.ID), hasEffect: true}
 	return r.peer.json(ctx, c, instance, nil)
 }
 
-// Delete takes an instance off the list.
+// Delete removes an instance from the list.
 func (r *Registrar) Delete(ctx context.Context, id string) error {
-	c := call{method: http.MethodDelete, path: instancePath(id), effect: true}
+	c := call{method: http.MethodDelete, path: instancePath(id), hasEffect: true}
 	return r.peer.json(ctx, c, nil, nil)
 }
 
--- a/client/wire/log.go
+++ b/client/wire/log.go
@@ -31,12 +31,12 @@
 	return records, nil
 }
 
-// EncodePage returns the body that answers a read.
+// EncodePage returns the body of the response to a read.
 func EncodePage(page provider.Page) ([]byte, error) {
 	return encoder.Marshal(page)
 }
 
-// DecodePage returns the page in the answer to a read.
+// DecodePage returns the page in the response to a read.
 func DecodePage(body []byte) (provider.Page, error) {
 	var page provider.Page
 	if err := decoder.Unmarshal(body, &page); err != nil {
@@ -45,8 +45,8 @@
 	return page, nil
 }
 
-// RefuseExpired answers a read of an offset that is no longer kept. The body
-// is a page with the offsets that are.
+// RefuseExpired refuses a read of an offset that is no longer retained. The body
+// is a page with the bounds of the retained offsets.
 func RefuseExpired(w http.ResponseWriter, page provider.Page) {
 	body, err := EncodePage(provider.Page{Oldest: page.Oldest, Next: page.Next})
 	if err != nil {
@@ -56,24 +56,25 @@
 	setRefusal(w.Header(), fault.New(fault.Expired, "offset expired"))
 	w.Header().Set("Content-Type", TypeCBOR)
 	w.WriteHeader(fault.Expired.Answer().Status)
-	_, _ = w.Write(body) // the reader may have gone
+	_, _ = w.Write(body) // fails only if the client disconnected
 }
 
-// ValidStream reports whether name can be a stream: non-empty path segments
-// of letters, digits, dots, dashes and underscores, none of them dots only.
+// ValidStream reports whether name is a valid stream name: non-empty path
+// segments of letters, digits, dots, dashes and underscores, none of which
+// consists of dots only.
 func ValidStream(name string) bool {
 	if len(name) == 0 || len(name) > 200 {
 		return false
 	}
 	for segment := range strings.SplitSeq(name, "/") {
-		if strings.Trim(segment, ".") == "" || strings.ContainsFunc(segment, notInSegment) {
+		if strings.Trim(segment, ".") == "" || strings.ContainsFunc(segment, isInvalidInSegment) {
 			return false
 		}
 	}
 	return true
 }
 
-func notInSegment(r rune) bool {
+func isInvalidInSegment(r rune) bool {
 	switch {
 	case 'a' <= r && r <= 'z', 'A' <= r && r <= 'Z', '0' <= r && r <= '9':
 		return false
--- a/client/wire/refusal.go
+++ b/client/wire/refusal.go
@@ -15,32 +15,32 @@
 type Refusal struct {
 	Kind    string        `json:"kind"`
 	Message string        `json:"message"`
-	After   time.Duration `json:"after,omitempty"` // when to come back
+	After   time.Duration `json:"after,omitempty"` // delay before a retry
 }
 
 var kindsByName = kindTable()
 
-// ParseKind returns the kind called name.
+// ParseKind returns the kind with the given name.
 func ParseKind(name string) (fault.Kind, bool) {
 	k, ok := kindsByName[name]
 	return k, ok
 }
 
-// Refuse answers a request with err's kind. Use it only where the request
-// took no effect.
+// Refuse responds with a refusal of err's kind. Use it only if the request took
+// no effect.
 func Refuse(w http.ResponseWriter, err error) {
 	setRefusal(w.Header(), err)
 	w.Header().Set("Content-Type", TypeJSON)
 	w.WriteHeader(fault.KindOf(err).Answer().Status)
-	_ = json.NewEncoder(w).Encode(Refusal{ // the reader may have gone
+	_ = json.NewEncoder(w).Encode(Refusal{ // fails only if the client disconnected
 		Kind:    fault.KindOf(err).String(),
-		Message: message(err),
+		Message: messageOf(err),
 		After:   answerOf(err).RetryAfter,
 	})
 }
 
-// ParseRefusal returns the refusal that an answer's header and body carry,
-// and nil when the answer isn't a refusal.
+// ParseRefusal returns the refusal in a response's header and body, and nil when
+// the response isn't a refusal.
 func ParseRefusal(header http.Header, body []byte) *fault.Error {
 	kind, ok := ParseKind(header.Get(HeaderFault))
 	if !ok {
@@ -78,7 +78,7 @@
 	return fault.Internal.Answer()
 }
 
-func message(err error) string {
+func messageOf(err error) string {
 	var e *fault.Error
 	if errors.As(err, &e) {
 		return e.Message
--- a/client/wire/wire.go
+++ b/client/wire/wire.go
@@ -1,14 +1,14 @@
-// Package wire holds what the clients of the platform and its stand-ins agree
-// on: paths, headers and bodies of plain HTTP requests.
+// Package wire defines the HTTP protocol between the platform's clients and its
+// services or stand-ins: paths, headers and bodies.
 //
 // Usage:
 //
 //	request.Header.Set(wire.HeaderEpoch, strconv.FormatUint(epoch, 10))
 //	wire.Refuse(w, fault.New(fault.StaleEpoch, "epoch %d, in force %d", got, epoch))
 //
-// Bodies are JSON, but for log records, which are binary and travel as CBOR.
-// An answer with HeaderFault is a refusal: the request did not take effect.
-// Task IDs may hold slashes and so travel in bodies, never in paths.
+// Bodies are JSON, except for log records, which are binary and encoded as CBOR.
+// A response with HeaderFault is a refusal: the request did not take effect.
+// Task IDs may contain slashes and are therefore sent in bodies, never in paths.
 package wire
 
 import (
@@ -21,10 +21,10 @@
 const (
 	HeaderFault    = "Dogwood-Fault"    // name of the refusal's fault.Kind
 	HeaderEpoch    = "Dogwood-Epoch"    // lease epoch under which a request is sent
-	HeaderRequest  = "Dogwood-Request"  // unique ID, echoed in the answer
+	HeaderRequest  = "Dogwood-Request"  // unique ID, echoed in the response
 	HeaderDeadline = "Dogwood-Deadline" // milliseconds left
-	HeaderRunning  = "Dogwood-Running"  // in the answer to a probe: whether the request it names is in hand
-	HeaderKey      = "Idempotency-Key"  // set by the caller on a request that may be repeated
+	HeaderRunning  = "Dogwood-Running"  // in the response to a probe: whether the request with the probe's ID is running
+	HeaderKey      = "Idempotency-Key"  // set by the caller on a request that it may repeat
 )
 
 // Paths.
@@ -54,7 +54,7 @@
 // Size bounds, in bytes.
 const (
 	MaxAppend  = 16 << 20 // body of one append
-	MaxPage    = 24 << 20 // body of one page; a server cuts pages at MaxEntries of data
+	MaxPage    = 24 << 20 // body of one page; a server limits the data of a page to MaxEntries
 	MaxEntries = 16 << 20
 	MaxControl = 4 << 20 // any JSON body
 	MaxRefusal = 64 << 10
@@ -63,17 +63,17 @@
 // MaxWait bounds how long a read may wait for its first entry.
 const MaxWait = time.Minute
 
-// Appended answers an append.
+// Appended is the response to an append.
 type Appended struct {
 	First uint64 `json:"first"`
 }
 
-// Release gives a lease back.
+// Release releases a lease.
 type Release struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// Transfer hands a lease to another holder.
+// Transfer transfers a lease to another holder.
 type Transfer struct {
 	Epoch uint64 `json:"epoch"`
 	To    string `json:"to"`
@@ -85,7 +85,7 @@
 	Task  provider.TaskSpec `json:"task"`
 }
 
-// Stop ends a task, with a checkpoint on request.
+// Stop stops a task, optionally with a checkpoint.
 type Stop struct {
 	Epoch      uint64 `json:"epoch"`
 	Task       string `json:"task"`
@@ -99,7 +99,7 @@
 	Percent int    `json:"percent"`
 }
 
-// Acknowledge lets the worker forget the results of tasks.
+// Acknowledge allows the worker to discard the results of tasks.
 type Acknowledge struct {
 	Epoch uint64   `json:"epoch"`
 	Tasks []string `json:"tasks"`
--- a/client/worker.go
+++ b/client/worker.go
@@ -12,7 +12,7 @@
 	peer *peer
 }
 
-// NewWorker returns a client of the control side of the worker at address.
+// NewWorker returns a client of the control interface of the worker at address.
 func NewWorker(address string, opts ...Option) provider.Worker {
 	return &worker{peer: newPeer(address, opts)}
 }
@@ -62,5 +62,5 @@
 }
 
 func (w *worker) post(ctx context.Context, path string, in, out any) error {
-	return w.peer.json(ctx, call{method: http.MethodPost, path: path, effect: true}, in, out)
+	return w.peer.json(ctx, call{method: http.MethodPost, path: path, hasEffect: true}, in, out)
 }
