--- a/cell/backlog.go
+++ b/cell/backlog.go
@@ -24,7 +24,7 @@
 }
 
 // fullPools returns the services in whose pools urgent tasks wait for free capacity, with
-// the priority that overload.Full determines for each.
+// the priority that overload.IsFull determines for each.
 func (c *Cell) fullPools() map[string]int {
 	lateProcessors := make(map[string]map[int]int64)
 	for _, s := range c.waitingSteps {
@@ -39,7 +39,7 @@
 	}
 	full := make(map[string]int)
 	for service, byPriority := range lateProcessors {
-		if priority, ok := overload.Full(byPriority, c.usableProcessors(service)); ok {
+		if priority, ok := overload.IsFull(byPriority, c.usableProcessors(service)); ok {
 			full[service] = priority
 		}
 	}
@@ -47,12 +47,12 @@
 }
 
 // lacksCapacity reports whether a step has urgent tasks that are past their objective and
-// have found no worker for at least overload.RoomPatience.
+// have found no worker for at least overload.MinCapacityWait.
 func (c *Cell) lacksCapacity(s *stepState) bool {
 	if s.spec.Lasting || s.spec.Fills || len(s.ready) == 0 {
 		return false
 	}
-	return s.rank.Standing != ranking.InTime && s.lastFailedPass > 0 && c.now-s.ready[0].waitingSince >= overload.RoomPatience
+	return s.rank.Standing != ranking.InTime && s.lastFailedPass > 0 && c.now-s.ready[0].waitingSince >= overload.MinCapacityWait
 }
 
 // usableProcessors returns the total processors of the service's workers that may get
--- a/cell/capacity_test.go
+++ b/cell/capacity_test.go
@@ -11,7 +11,7 @@
 
 // acceptsLasting reports whether an instance that reads the record accepts lasting jobs.
 func (s *site) acceptsLasting() bool {
-	return s.store.readCatalog(s.t).Backlog().HasRoom(service, terms.Priority)
+	return s.store.readCatalog(s.t).Backlog().Admits(service, terms.Priority)
 }
 
 // Guards against urgent jobs that wait for capacity that new lasting jobs keep taking.
--- a/cell/colocate.go
+++ b/cell/colocate.go
@@ -27,7 +27,7 @@
 	c.plan = colocation.New(c.pressure.Weight, c.fillingDemand)
 	for _, w := range c.everyWorker() {
 		w.imageSet = c.plan.Set(slices.Collect(maps.Keys(w.images)))
-		w.imageSet.Count(float64(w.host.Capacity.Processors) / meanSize)
+		w.imageSet.AddWorker(float64(w.host.Capacity.Processors) / meanSize)
 	}
 	c.relocate()
 }
--- a/cell/dispatch.go
+++ b/cell/dispatch.go
@@ -62,7 +62,7 @@
 		}
 		c.dispatchStep(s)
 	}
-	c.overloadGauge.Looked(c.now, c.startLimiter.full())
+	c.overloadGauge.RecordPass(c.now, c.startLimiter.full())
 	c.dropEmptySteps()
 	passes.totalChecks += uint64(passes.checks)
 	passes.minGap = max(minPassGap, time.Duration(passes.checks)*gapPerCheck)
--- a/cell/exposure.go
+++ b/cell/exposure.go
@@ -46,7 +46,7 @@
 // fillOf describes a filling run to the estimator.
 func (c *Cell) fillOf(r *run) pressure.Fill {
 	share, shift := r.exposure.mean(c.now, r.worker.share(r.processorsUsed))
-	return pressure.Fill{Image: r.task.step.spec.Image, Share: share, Moved: shift}
+	return pressure.Fill{Image: r.task.step.spec.Image, Share: share, Change: shift}
 }
 
 // recordEndedFill keeps the exposure of a filling run that ended.
@@ -66,7 +66,7 @@
 			continue
 		}
 		kept = append(kept, f)
-		fills = append(fills, pressure.Fill{Image: f.image, Share: share, Moved: shift})
+		fills = append(fills, pressure.Fill{Image: f.image, Share: share, Change: shift})
 	}
 	w.endedFills = kept
 	return fills
--- a/cell/relocate.go
+++ b/cell/relocate.go
@@ -41,7 +41,7 @@
 		if len(w.images) < 2 || w.missedHolds > 0 || w.host.Draining {
 			continue
 		}
-		gain, toMove := c.imageSet(w).Spoiled(w.images)
+		gain, toMove := c.imageSet(w).BestMove(w.images)
 		if gain < minMoveGain {
 			continue
 		}
--- a/cell/run.go
+++ b/cell/run.go
@@ -60,7 +60,7 @@
 	c.markRunning(t.step.job)
 	w.leaseDeadline = max(w.leaseDeadline, r.deadline)
 	c.startLimiter.recordStart()
-	c.overloadGauge.Started()
+	c.overloadGauge.RecordStart()
 	c.emit(Start{Order: provider.StartOrder{
 		Host:       w.host,
 		Token:      w.token,
--- a/cell/serving.go
+++ b/cell/serving.go
@@ -27,7 +27,7 @@
 	}
 	served, fills, expected := c.servingAndFilling(w)
 	c.pressure.Observe(c.now, served, fills)
-	w.slack = c.pressure.Room(served, expected)
+	w.slack = c.pressure.Headroom(served, expected)
 	if c.isOverTargetTooLong(w) {
 		c.pauseAll(w)
 		return
@@ -61,7 +61,7 @@
 func (c *Cell) throttle(w *worker, served []pressure.Served) {
 	var runs []*run
 	var tasks []throttle.Task
-	slack := c.pressure.Spare(served)
+	slack := c.pressure.Tolerance(served)
 	for _, r := range inOrder(w.runs) {
 		if !r.isFilling() || r.state != runRunning {
 			continue
@@ -120,10 +120,10 @@
 		return true
 	}
 	share := w.share(s.spec.Need.Processors)
-	if c.now < w.noFillUntil && c.pressure.Most(w.slack, s.spec.Image, share) > harmlessPressure {
+	if c.now < w.noFillUntil && c.pressure.MaxPressure(w.slack, s.spec.Image, share) > harmlessPressure {
 		return false
 	}
-	return c.pressure.Bears(w.slack, s.spec.Image, share)
+	return c.pressure.Tolerates(w.slack, s.spec.Image, share)
 }
 
 // consumeSlack subtracts the expected interference of a started filling task from the
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -31,10 +31,10 @@
 	images            map[string]int  // number of serving runs by image
 	imageSet          *colocation.Set // colocation data of images, nil if it has to be looked up
 
-	slack           []pressure.Room // slack of the serving runs, from the last report
-	noFillUntil     time.Duration   // no new filling tasks before then
-	endedFills      []endedFill     // filling tasks that ended recently
-	overTargetSince time.Duration   // since when a serving task exceeds its target, zero if none does
+	slack           []pressure.Headroom // slack of the serving runs, from the last report
+	noFillUntil     time.Duration       // no new filling tasks before then
+	endedFills      []endedFill         // filling tasks that ended recently
+	overTargetSince time.Duration       // since when a serving task exceeds its target, zero if none does
 
 	clock         int64         // in the last report, in milliseconds
 	clockReadAt   time.Duration // when that report arrived
--- a/colocation/colocation.go
+++ b/colocation/colocation.go
@@ -6,11 +6,11 @@
 //	plan := colocation.New(estimator.Weight, demand)
 //	for _, w := range workers {
 //		w.set = plan.Set(w.images)
-//		w.set.Count(w.size)
+//		w.set.AddWorker(w.size)
 //	}
 //	loss := w.set.Loss("quote")             // of placing a further image there
 //	cost := w.set.Cost("rebuild", 0.1)      // of a filling task with a tenth of the worker
-//	gain, leave := w.set.Spoiled(w.running) // of moving some images away
+//	gain, leave := w.set.BestMove(w.running) // of moving some images away
 //
 // A serving image is sensitive to some filling images, and two serving images are
 // mostly sensitive either to the same filling images or to quite different ones. All
@@ -66,7 +66,7 @@
 
 // Set holds the images of the serving tasks on a worker. Workers with the same images
 // share a Set. It caches its results, so all workers must be counted before the first
-// call of Loss, Cost or Spoiled.
+// call of Loss, Cost or BestMove.
 type Set struct {
 	plan   *Plan
 	images []string           // sorted
@@ -93,9 +93,9 @@
 	return s
 }
 
-// Count adds a worker with these images to the plan's capacity; size is in workers of
+// AddWorker adds a worker with these images to the plan's capacity; size is in workers of
 // the usual size.
-func (s *Set) Count(size float64) {
+func (s *Set) AddWorker(size float64) {
 	for i, u := range s.usable {
 		s.plan.usable[i] += u * size
 	}
@@ -157,10 +157,10 @@
 	return largest
 }
 
-// Spoiled returns the largest gain of moving some of a worker's images away, divided by
+// BestMove returns the largest gain of moving some of a worker's images away, divided by
 // the number of tasks to move, and these images. Runs is the number of tasks of each
 // image.
-func (s *Set) Spoiled(runs map[string]int) (gain float64, leave []string) {
+func (s *Set) BestMove(runs map[string]int) (gain float64, leave []string) {
 	for _, kept := range s.images {
 		staying, leaving := s.splitByKind(kept)
 		moves := 0
--- a/colocation/colocation_test.go
+++ b/colocation/colocation_test.go
@@ -23,7 +23,7 @@
 func newPlan() *colocation.Plan {
 	plan := colocation.New(weight, map[string]float64{"rebuild": 4, "scan": 0.5, "copy": 1})
 	for _, images := range [][]string{{"a1"}, {"a1"}, {"a2"}, {"a1", "a2"}, {"a2"}, {"a1"}, {"a2"}, {"a1"}, {"b"}, {"b"}} {
-		plan.Set(images).Count(1)
+		plan.Set(images).AddWorker(1)
 	}
 	return plan
 }
@@ -81,7 +81,7 @@
 			for image := range test.runs {
 				images = append(images, image)
 			}
-			gain, leave := plan.Set(images).Spoiled(test.runs)
+			gain, leave := plan.Set(images).BestMove(test.runs)
 			is.Equal(leave, test.leave)
 			is.Equal(gain > 0, test.leave != nil)
 		})
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	plan := colocation.New(weight, nil)
 	set := plan.Set([]string{"a1"})
-	set.Count(1)
+	set.AddWorker(1)
 	is.Equal(set.Loss("b"), 0.0)
 	is.Equal(set.Cost("copy", 0.5), 0.0)
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -4,18 +4,18 @@
 // Usage, by the owner:
 //
 //	var g overload.Gauge
-//	g.Looked(now, bound)  // after each scheduling pass: whether the owner's own limits left tasks waiting
-//	g.Started()           // for each start
+//	g.RecordPass(now, bound) // after each scheduling pass: whether the owner's own limits left tasks waiting
+//	g.RecordStart()          // for each start
 //	if b := g.Backlog(now); b != nil { // the owner doesn't keep up
 //		b.Add(priority, tasks)  // for each waiting step
 //	}
-//	priority, full := overload.Full(late, whole) // for each pool; into Backlog.Full
+//	priority, full := overload.IsFull(late, whole) // for each pool; into Backlog.Full
 //	// write the Backlog for the other instances
 //
 // and where jobs are submitted:
 //
 //	lag := b.Lag(priority)
-//	if overload.Rejects(lag, tasks, rand.Float64()) || lasting && !b.HasRoom(service, priority) {
+//	if overload.Rejects(lag, tasks, rand.Float64()) || lasting && !b.Admits(service, priority) {
 //		return fault.New(fault.Overloaded, "...").After(overload.RetryAfter(lag, rand.Float64()))
 //	}
 //
@@ -33,7 +33,7 @@
 // tasks come to hold nearly all of the rest, and urgent tasks get a fraction of their
 // demand until the end: thousands of them exceed their objective while workers
 // have no free capacity. So lasting jobs are rejected while urgent ones of their pool
-// wait for capacity (Full). A reservation for urgent tasks is no alternative, since an
+// wait for capacity (IsFull). A reservation for urgent tasks is no alternative, since an
 // accepted lasting task mustn't wait beside free capacity.
 package overload
 
@@ -76,10 +76,10 @@
 	fullShare = 0.02
 )
 
-// RoomPatience is how long an urgent task beyond its objective waits for free capacity
-// before it counts in Full. After a takeover or an outage of the store many tasks are
+// MinCapacityWait is how long an urgent task beyond its objective waits for free capacity
+// before it counts in IsFull. After a takeover or an outage of the store many tasks are
 // late but find free capacity at once.
-const RoomPatience = time.Second
+const MinCapacityWait = time.Second
 
 // Gauge measures whether an owner starts tasks as fast as they arrive. The zero Gauge is
 // ready to use.
@@ -92,9 +92,9 @@
 	lagging     bool          // in the last window
 }
 
-// Looked counts a scheduling pass. Bound reports whether it left tasks waiting because
+// RecordPass counts a scheduling pass. Bound reports whether it left tasks waiting because
 // the owner couldn't order more starts.
-func (g *Gauge) Looked(now time.Duration, bound bool) {
+func (g *Gauge) RecordPass(now time.Duration, bound bool) {
 	g.roll(now)
 	g.passes++
 	if bound {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Started counts a start.
-func (g *Gauge) Started() {
+// RecordStart counts a start.
+func (g *Gauge) RecordStart() {
 	g.starts++
 }
 
@@ -143,11 +143,11 @@
 	Full map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Full reports whether a pool is full, and the priority from which on lasting jobs are
+// IsFull reports whether a pool is full, and the priority from which on lasting jobs are
 // rejected then. A pool is full when the demand of waiting urgent tasks beyond their
 // objective exceeds a share of it. Late is that demand by priority, whole the
 // capacity of the pool, in the same unit.
-func Full(late map[int]int64, whole int64) (priority int, full bool) {
+func IsFull(late map[int]int64, whole int64) (priority int, full bool) {
 	sum := int64(0)
 	for _, p := range slices.Sorted(maps.Keys(late)) {
 		sum += late[p]
@@ -158,9 +158,9 @@
 	return 0, false
 }
 
-// HasRoom reports whether a lasting job may enter a service's pool: the pool isn't full,
+// Admits reports whether a lasting job may enter a service's pool: the pool isn't full,
 // or the job goes before the urgent tasks that wait there. It is true for a nil Backlog.
-func (b *Backlog) HasRoom(service string, priority int) bool {
+func (b *Backlog) Admits(service string, priority int) bool {
 	if b == nil {
 		return true
 	}
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -38,14 +38,14 @@
 	o.credit = min(o.credit+added, added+1)
 	n := min(len(o.waiting), o.capacity, int(o.credit))
 	for _, since := range o.waiting[:n] {
-		o.gauge.Started()
+		o.gauge.RecordStart()
 		o.maxWait = max(o.maxWait, o.now-since)
 	}
 	o.started += n
 	o.waiting = o.waiting[n:]
 	o.credit -= float64(n)
 	o.capacity -= n
-	o.gauge.Looked(o.now, len(o.waiting) > 0 && o.capacity > 0)
+	o.gauge.RecordPass(o.now, len(o.waiting) > 0 && o.capacity > 0)
 }
 
 // backlog returns the backlog that the owner would write.
@@ -194,7 +194,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			priority, full := overload.Full(test.late, whole)
+			priority, full := overload.IsFull(test.late, whole)
 			is.Equal(full, test.full)
 			is.Equal(priority, test.priority)
 		})
@@ -204,11 +204,11 @@
 func TestHasRoom(t *testing.T) {
 	is := is.New(t)
 	var unknown *overload.Backlog
-	is.True(unknown.HasRoom("pool", 0))
+	is.True(unknown.Admits("pool", 0))
 	b := &overload.Backlog{Full: map[string]int{"pool": 1}}
 	is.Equal(b.Lag(5), time.Duration(0))
-	is.True(!b.HasRoom("pool", 1))
-	is.True(!b.HasRoom("pool", 2))
-	is.True(b.HasRoom("pool", 0)) // more urgent than the waiting tasks
-	is.True(b.HasRoom("other", 1))
+	is.True(!b.Admits("pool", 1))
+	is.True(!b.Admits("pool", 2))
+	is.True(b.Admits("pool", 0)) // more urgent than the waiting tasks
+	is.True(b.Admits("other", 1))
 }
--- a/pressure/pressure.go
+++ b/pressure/pressure.go
@@ -6,8 +6,8 @@
 //
 //	e := pressure.New()
 //	e.Observe(now, served, fills) // a worker's report
-//	room := e.Room(served, fills) // of each serving task
-//	if e.Bears(room, "rebuild-image", 0.1) { ... }
+//	headroom := e.Headroom(served, fills) // of each serving task
+//	if e.Tolerates(headroom, "rebuild-image", 0.1) { ... }
 //
 // The tail of a serving task's response times behaves like that of a queue: it is
 // the idle tail divided by the share of time in which the task isn't delayed.
@@ -82,9 +82,9 @@
 
 // Fill is a filling task in a worker's report.
 type Fill struct {
-	Image string
-	Share float64 // used share of the worker's processors, the mean over the window of a reading
-	Moved float64 // change of the share within that window
+	Image  string
+	Share  float64 // used share of the worker's processors, the mean over the window of a reading
+	Change float64 // change of the share within that window
 }
 
 // pair holds the images of a serving and a filling task.
@@ -127,8 +127,8 @@
 	return w
 }
 
-// Sum returns the slack that a serving image loses to filling tasks.
-func (e *Estimator) Sum(served string, fills []Fill) float64 {
+// Pressure returns the slack that a serving image loses to filling tasks.
+func (e *Estimator) Pressure(served string, fills []Fill) float64 {
 	total := 0.0
 	for _, f := range fills {
 		total += e.Weight(served, f.Image) * f.Share
@@ -148,9 +148,9 @@
 	slack := s.slack()
 	sd := noiseFloor + relativeNoise*slack
 	for _, f := range fills {
-		sd += transientNoise * f.Moved * e.Weight(s.Image, f.Image)
+		sd += transientNoise * f.Change * e.Weight(s.Image, f.Image)
 	}
-	innovation := slack - (b.value - e.Sum(s.Image, fills))
+	innovation := slack - (b.value - e.Pressure(s.Image, fills))
 	if slack < saturatedSlack && innovation > 0 {
 		return // the tail is saturated and doesn't reflect the pressure
 	}
@@ -187,34 +187,34 @@
 	e.variance *= 1 - gain*slope
 }
 
-// Room is the slack that a serving task keeps beside the filling tasks of its worker.
-type Room struct {
+// Headroom is the slack that a serving task keeps beside the filling tasks of its worker.
+type Headroom struct {
 	Image    string
 	Slack    float64 // expected after predictionHorizon
 	Pressure float64 // slack lost to the filling tasks
 }
 
-// Room returns the remaining slack of each serving task of a worker.
-func (e *Estimator) Room(served []Served, fills []Fill) []Room {
-	room := make([]Room, len(served))
+// Headroom returns the remaining slack of each serving task of a worker.
+func (e *Estimator) Headroom(served []Served, fills []Fill) []Headroom {
+	headroom := make([]Headroom, len(served))
 	for i := range served {
 		s := &served[i]
-		p := e.Sum(s.Image, fills)
-		room[i] = Room{Image: s.Image, Slack: s.slack() - unknownBaseMargin, Pressure: p}
+		p := e.Pressure(s.Image, fills)
+		headroom[i] = Headroom{Image: s.Image, Slack: s.slack() - unknownBaseMargin, Pressure: p}
 		if b := e.bases[s.Job]; b != nil {
-			room[i].Slack = b.predict(predictionHorizon) - p
+			headroom[i].Slack = b.predict(predictionHorizon) - p
 		}
 	}
-	return room
+	return headroom
 }
 
-// Spare returns the total pressure that each serving task of a worker tolerates.
-func (e *Estimator) Spare(served []Served) []float64 {
-	spare := make([]float64, len(served))
+// Tolerance returns the total pressure that each serving task of a worker tolerates.
+func (e *Estimator) Tolerance(served []Served) []float64 {
+	tolerance := make([]float64, len(served))
 	for i := range served {
-		spare[i] = e.expectedSlack(&served[i]) - minSlack
+		tolerance[i] = e.expectedSlack(&served[i]) - minSlack
 	}
-	return spare
+	return tolerance
 }
 
 // expectedSlack returns the slack that a serving task is expected to have after predictionHorizon
@@ -226,11 +226,11 @@
 	return s.slack()
 }
 
-// Bears reports whether a worker's serving tasks tolerate another filling task:
+// Tolerates reports whether a worker's serving tasks tolerate another filling task:
 // either their slack suffices now, or all filling tasks together are so light that
 // it suffices even at the peak of their load.
-func (e *Estimator) Bears(room []Room, image string, share float64) bool {
-	for _, r := range room {
+func (e *Estimator) Tolerates(headroom []Headroom, image string, share float64) bool {
+	for _, r := range headroom {
 		p := e.Weight(r.Image, image) * share
 		if r.Slack-p < minStartSlack && typicalPeakSlack-r.Pressure-p < minPeakSlack {
 			return false
@@ -241,30 +241,30 @@
 
 // Cost returns the slack that another filling task would take from a worker's serving
 // tasks, as the largest fraction of a task's remaining slack.
-func (e *Estimator) Cost(room []Room, image string, share float64) float64 {
+func (e *Estimator) Cost(headroom []Headroom, image string, share float64) float64 {
 	largest := 0.0
-	for _, r := range room {
+	for _, r := range headroom {
 		largest = max(largest, e.Weight(r.Image, image)*share/max(minPeakSlack, r.Slack))
 	}
 	return largest
 }
 
-// Most returns the largest slack that another filling task would take from one of a
+// MaxPressure returns the largest slack that another filling task would take from one of a
 // worker's serving tasks.
-func (e *Estimator) Most(room []Room, image string, share float64) float64 {
+func (e *Estimator) MaxPressure(headroom []Headroom, image string, share float64) float64 {
 	largest := 0.0
-	for _, r := range room {
+	for _, r := range headroom {
 		largest = max(largest, e.Weight(r.Image, image)*share)
 	}
 	return largest
 }
 
-// Add updates room for a filling task that was just started.
-func (e *Estimator) Add(room []Room, image string, share float64) {
-	for i := range room {
-		p := e.Weight(room[i].Image, image) * share
-		room[i].Slack -= p
-		room[i].Pressure += p
+// Add updates headroom for a filling task that was just started.
+func (e *Estimator) Add(headroom []Headroom, image string, share float64) {
+	for i := range headroom {
+		p := e.Weight(headroom[i].Image, image) * share
+		headroom[i].Slack -= p
+		headroom[i].Pressure += p
 	}
 }
 
--- a/pressure/pressure_test.go
+++ b/pressure/pressure_test.go
@@ -87,21 +87,21 @@
 
 func TestBears(t *testing.T) {
 	tests := []struct {
-		name  string
-		room  []pressure.Room
-		share float64
-		bears bool
+		name      string
+		headroom  []pressure.Headroom
+		share     float64
+		tolerates bool
 	}{
 		{"nobody to disturb", nil, 1, true},
-		{"far from its target", []pressure.Room{{Image: "s", Slack: 3}}, 0.1, true},
-		{"near its target", []pressure.Room{{Image: "s", Slack: 1.2, Pressure: 2}}, 0.1, false},
-		{"one of two is near", []pressure.Room{{Image: "s", Slack: 3}, {Image: "s", Slack: 1, Pressure: 2}}, 0.1, false},
-		{"at its peak, but the task is light", []pressure.Room{{Image: "s", Slack: 0.9}}, 0.05, true},
+		{"far from its target", []pressure.Headroom{{Image: "s", Slack: 3}}, 0.1, true},
+		{"near its target", []pressure.Headroom{{Image: "s", Slack: 1.2, Pressure: 2}}, 0.1, false},
+		{"one of two is near", []pressure.Headroom{{Image: "s", Slack: 3}, {Image: "s", Slack: 1, Pressure: 2}}, 0.1, false},
+		{"at its peak, but the task is light", []pressure.Headroom{{Image: "s", Slack: 0.9}}, 0.05, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(pressure.New().Bears(test.room, "f", test.share), test.bears)
+			is.Equal(pressure.New().Tolerates(test.headroom, "f", test.share), test.tolerates)
 		})
 	}
 }
@@ -149,9 +149,9 @@
 				if step < 20 {
 					continue // the first swing
 				}
-				// Spare is the predicted slack minus the slack that must be left.
+				// Tolerance is the predicted slack minus the slack that must be left.
 				next := float64(target) / float64(w.noiselessTail("s0", at+700*time.Millisecond))
-				sum += math.Abs(e.Spare([]pressure.Served{report})[0] + 1.1 - next)
+				sum += math.Abs(e.Tolerance([]pressure.Served{report})[0] + 1.1 - next)
 				n++
 			}
 			t.Logf("wrong by %.2f on average", sum/float64(n))
@@ -188,7 +188,7 @@
 			mean.Share = 0.1 - mean.Share
 		}
 		if since < 2 {
-			mean.Moved = 0.1
+			mean.Change = 0.1
 		}
 		fill := mean
 		if !windowMeans {
@@ -201,7 +201,7 @@
 		e.Observe(at, []pressure.Served{report}, []pressure.Fill{fill})
 		if step > 100 {
 			next := float64(target) / float64(w.noiselessTail("s0", at+700*time.Millisecond))
-			sum += math.Abs(e.Spare([]pressure.Served{report})[0] + 1.1 - next)
+			sum += math.Abs(e.Tolerance([]pressure.Served{report})[0] + 1.1 - next)
 			n++
 		}
 	}
