--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -69,12 +69,12 @@
 // Owner is the record of the cell's owner. An owner that leaves sets Leaving, so that
 // others needn't wait until its heartbeats time out.
 type Owner struct {
-	Term     uint64 `cbor:"1,keyasint"`
-	Instance string `cbor:"2,keyasint"`
-	Leaving  bool   `cbor:"3,keyasint,omitempty"`
-	Beat     uint64 `cbor:"4,keyasint,omitempty"` // counts the owner's heartbeats
-	Nonce    uint64 `cbor:"5,keyasint,omitempty"` // identifies the process, as a restart keeps the Instance
-	Sequence uint64 `cbor:"6,keyasint,omitempty"` // sequence number of the write that claimed the term
+	Term       uint64 `cbor:"1,keyasint"`
+	Instance   string `cbor:"2,keyasint"`
+	Leaving    bool   `cbor:"3,keyasint,omitempty"`
+	Heartbeats uint64 `cbor:"4,keyasint,omitempty"` // counts the owner's heartbeats
+	Nonce      uint64 `cbor:"5,keyasint,omitempty"` // identifies the process, as a restart keeps the Instance
+	Sequence   uint64 `cbor:"6,keyasint,omitempty"` // sequence number of the write that claimed the term
 }
 
 // Catalog holds the state that results from the records read so far.
@@ -87,7 +87,7 @@
 	backlog backlog
 	crashed map[string]uint64 // terms by incarnations of workers; see CrashedRecord
 	waves   map[int]Wave
-	changed []string // jobs that were accepted or cancelled since the last Take
+	changed []string // jobs that were accepted or cancelled since the last TakeChanged
 }
 
 // New returns an empty Catalog.
@@ -115,9 +115,9 @@
 	return provider.KeyedRecord{Key: progressKey + id, Value: data}, err
 }
 
-// DropProgress returns the record that deletes a job's progress. The job's own
+// ProgressDeletion returns the record that deletes a job's progress. The job's own
 // record must be deleted first.
-func DropProgress(id string) provider.KeyedRecord {
+func ProgressDeletion(id string) provider.KeyedRecord {
 	return provider.KeyedRecord{Key: progressKey + id}
 }
 
@@ -512,9 +512,9 @@
 	return ids
 }
 
-// Take returns the jobs that were accepted or cancelled since the last Take
-// or Entries.
-func (c *Catalog) Take() []Entry {
+// TakeChanged returns the jobs that were accepted or cancelled since the last
+// TakeChanged or Entries.
+func (c *Catalog) TakeChanged() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entries := make([]Entry, 0, len(c.changed))
--- a/cell/advice_test.go
+++ b/cell/advice_test.go
@@ -17,7 +17,7 @@
 	s := newSite(t, 1, 4, 2)
 	s.isAllowed = func(host string) bool { return host[:2] == "w1" || host[:2] == "w3" }
 	advised := terms
-	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: ticketTime}
+	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, DecisionPerWorker: time.Millisecond, Valid: ticketTime}
 	s.table = queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: advised}}, []queue.Service{{Name: service}})
 	for i := range 6 {
 		s.after(time.Duration(i)*time.Second, func() {
@@ -37,7 +37,7 @@
 	s := newSite(t, 2, 4, 1)
 	s.isAllowed = func(string) bool { return true }
 	advised := terms
-	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: ticketTime}
+	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, DecisionPerWorker: time.Millisecond, Valid: ticketTime}
 	s.table = queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: advised}}, []queue.Service{{Name: service}})
 	s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(120, 2)}})
 	s.owners[0].takeOver()
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -256,7 +256,7 @@
 // termsOf returns the current terms of a job's queue, or the terms the job was accepted
 // with if the queue no longer exists.
 func (c *Cell) termsOf(j *job.Job) job.Terms {
-	if q, ok := c.queues.Named(j.Queue); ok {
+	if q, ok := c.queues.ByName(j.Queue); ok {
 		return q.Terms
 	}
 	return j.Terms
--- a/cell/end.go
+++ b/cell/end.go
@@ -113,7 +113,7 @@
 	if checkpoint != "" {
 		t.checkpoint = checkpoint
 	}
-	if t.checkpoint != "" && t.step.job.progress.Save(t.id, t.checkpoint) {
+	if t.checkpoint != "" && t.step.job.progress.SetCheckpoint(t.id, t.checkpoint) {
 		c.writer.markDirty(t.step.job)
 	}
 }
--- a/cell/evacuate.go
+++ b/cell/evacuate.go
@@ -10,7 +10,7 @@
 }
 
 // evacuate moves runs off a worker that is about to leave. Lasting tasks are moved at
-// once, limited to MayMiss tasks of a step unless the worker itself is draining. Other
+// once, limited to MaxStopped tasks of a step unless the worker itself is draining. Other
 // tasks are moved if they have checkpoints; the rest may finish in the time that is left.
 func (c *Cell) evacuate(w *worker) {
 	for _, r := range inOrder(w.runs) {
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -303,7 +303,7 @@
 				s.t.Fatal(err)
 			}
 		}
-		for _, e := range known.Take() {
+		for _, e := range known.TakeChanged() {
 			if strings.HasSuffix(s.store.accepts[o.acceptsRead].Key, e.Job.ID) {
 				o.step(cell.Arrived{Entry: e})
 				break
--- a/cell/job.go
+++ b/cell/job.go
@@ -87,7 +87,7 @@
 	if j == nil {
 		e.Progress = progress.New(e.Job)
 		c.addJob(e)
-		c.logEvent("job", "job", e.Job.ID, "queue", e.Job.Queue, "tasks", e.Job.Width(), "times", e.Job.Times, "cancelled", e.Cancelled)
+		c.logEvent("job", "job", e.Job.ID, "queue", e.Job.Queue, "tasks", e.Job.TaskCount(), "times", e.Job.Times, "cancelled", e.Cancelled)
 		return
 	}
 	if e.Cancelled && !j.final() {
@@ -190,7 +190,7 @@
 // restore restores a step's state from the record.
 func (c *Cell) restore(s *stepState) {
 	for _, t := range s.tasks {
-		t.checkpoint = s.job.progress.Saved(t.id)
+		t.checkpoint = s.job.progress.Checkpoint(t.id)
 		t.restoreCrashes()
 		if s.job.progress.IsDone(t.id) {
 			t.done = true
@@ -278,7 +278,7 @@
 	t.done = true
 	c.unqueue(t)
 	s := t.step
-	s.job.progress.Done(t.id)
+	s.job.progress.RecordDone(t.id)
 	c.writer.markDirty(s.job)
 	s.tasksLeft--
 	if s.tasksLeft > 0 {
@@ -346,7 +346,7 @@
 	if s.spec.Gang {
 		countedTask.Index = 0 // members that fail together count once
 	}
-	if s.spec.Lasting || !s.job.progress.Fail(countedTask, attempt) {
+	if s.spec.Lasting || !s.job.progress.RecordFailure(countedTask, attempt) {
 		return
 	}
 	c.writer.markDirty(s.job)
--- a/cell/save.go
+++ b/cell/save.go
@@ -144,12 +144,12 @@
 	s.nextSequence++
 	c.heartbeats++
 	owner, err := catalog.OwnerRecord(catalog.Owner{
-		Term:     c.self.Term,
-		Instance: c.self.Instance,
-		Nonce:    c.self.Nonce,
-		Sequence: c.self.Sequence,
-		Beat:     c.heartbeats,
-		Leaving:  s.leaving,
+		Term:       c.self.Term,
+		Instance:   c.self.Instance,
+		Nonce:      c.self.Nonce,
+		Sequence:   c.self.Sequence,
+		Heartbeats: c.heartbeats,
+		Leaving:    s.leaving,
 	})
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	for _, id := range s.droppedJobs {
-		b.save.Records = append(b.save.Records, catalog.DropProgress(id))
+		b.save.Records = append(b.save.Records, catalog.ProgressDeletion(id))
 	}
 	s.droppedJobs = nil
 	for n, w := range inOrder(s.dirtyWaves) {
--- a/cell/wave.go
+++ b/cell/wave.go
@@ -198,7 +198,7 @@
 // canMiss reports whether a lasting run may be stopped deliberately: few enough other
 // tasks of its step are missing that the step tolerates one more.
 func (s *stepState) canMiss(r *run) bool {
-	if s.spec.MayMiss == 0 {
+	if s.spec.MaxStopped == 0 {
 		return true // no limit was set
 	}
 	missing := 0
@@ -207,5 +207,5 @@
 			missing++
 		}
 	}
-	return missing < s.spec.MayMiss
+	return missing < s.spec.MaxStopped
 }
--- a/cell/wave_test.go
+++ b/cell/wave_test.go
@@ -21,7 +21,7 @@
 	s.tail = func(string, *fakeWorker) time.Duration { return 0 }
 	lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(4, 4)}}
 	lasting.Steps[0].Lasting = true
-	lasting.Steps[0].MayMiss = 2
+	lasting.Steps[0].MaxStopped = 2
 	s.owners[0].takeOver()
 	s.after(time.Second, func() { s.workers[0].crash(190*time.Millisecond, 7) })
 	s.after(1195*time.Millisecond, func() { s.workers[0].host.Address = "10.0.1.0:1" }) // so that the first incarnation doesn't answer
@@ -59,7 +59,7 @@
 			s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: tt.maxDown, Within: time.Minute}}
 			lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(4, 2)}}
 			lasting.Steps[0].Lasting = true
-			lasting.Steps[0].MayMiss = 1
+			lasting.Steps[0].MaxStopped = 1
 			s.submit(lasting)
 			s.owners[0].takeOver()
 			if tt.takeover > 0 {
--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -109,7 +109,7 @@
 		d.step(cell.Configured{Table: t})
 	}
 	if d.cell != nil {
-		for _, e := range d.catalog.Take() {
+		for _, e := range d.catalog.TakeChanged() {
 			d.step(cell.Arrived{Entry: e})
 		}
 		return
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -281,7 +281,7 @@
 	switch {
 	case j.Scheduled():
 		return ""
-	case overload.Rejects(lag, j.Width(), rand.Float64()):
+	case overload.Rejects(lag, j.TaskCount(), rand.Float64()):
 		return fmt.Sprintf("what was accepted before waits %v for its orders", lag)
 	case j.Lasting() && !b.Admits(j.Terms.Service, j.Terms.Priority):
 		return "urgent jobs wait for the room that it would take"
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -13,7 +13,7 @@
 func half() float64 { return 0.5 }
 
 func TestShouldClaim(t *testing.T) {
-	owner := catalog.Owner{Term: 3, Instance: "e2", Nonce: 8, Beat: 4}
+	owner := catalog.Owner{Term: 3, Instance: "e2", Nonce: 8, Heartbeats: 4}
 	tests := []struct {
 		name       string
 		owner      catalog.Owner
--- a/job/job.go
+++ b/job/job.go
@@ -58,29 +58,29 @@
 
 // Advice describes the service that selects the workers which may run a step.
 type Advice struct {
-	Decision time.Duration `cbor:"1,keyasint"` // constant part of the response time
-	Each     time.Duration `cbor:"2,keyasint"` // additional response time per worker in the request
-	Valid    time.Duration `cbor:"3,keyasint"` // validity of a ticket
+	Decision          time.Duration `cbor:"1,keyasint"` // constant part of the response time
+	DecisionPerWorker time.Duration `cbor:"2,keyasint"` // additional response time per worker in the request
+	Valid             time.Duration `cbor:"3,keyasint"` // validity of a ticket
 }
 
 // Step is a set of equal tasks.
 type Step struct {
-	Count       int             `cbor:"1,keyasint"`
-	Need        resource.Vector `cbor:"2,keyasint"`            // of one task
-	Estimate    time.Duration   `cbor:"3,keyasint,omitempty"`  // rough run time, often very inaccurate
-	After       []int           `cbor:"4,keyasint,omitempty"`  // numbers of earlier steps that must be done first
-	Gang        bool            `cbor:"5,keyasint,omitempty"`  // the tasks only work if all run at once
-	SameRack    bool            `cbor:"6,keyasint,omitempty"`  // the tasks are slow when spread over racks
-	Label       string          `cbor:"7,keyasint,omitempty"`  // required label of the worker
-	Rack        string          `cbor:"8,keyasint,omitempty"`  // rack of the input data; the tasks are slow elsewhere
-	PerWorker   int             `cbor:"9,keyasint,omitempty"`  // maximum number of tasks on one worker; zero is no limit
-	Copies      bool            `cbor:"10,keyasint,omitempty"` // several copies of a task may run; the first end counts
-	Lasting     bool            `cbor:"11,keyasint,omitempty"` // runs until the job is cancelled
-	Image       string          `cbor:"12,keyasint,omitempty"` // tasks with the same image have similar interference
-	Target      time.Duration   `cbor:"13,keyasint,omitempty"` // upper bound of a serving task's tail latency
-	Fills       bool            `cbor:"14,keyasint,omitempty"` // filling task: uses only idle processor time
-	MayMiss     int             `cbor:"15,keyasint,omitempty"` // number of lasting tasks that the owner may stop at the same time
-	Checkpoints bool            `cbor:"16,keyasint,omitempty"` // the tasks write checkpoints
+	Count        int             `cbor:"1,keyasint"`
+	Need         resource.Vector `cbor:"2,keyasint"`            // of one task
+	Estimate     time.Duration   `cbor:"3,keyasint,omitempty"`  // rough run time, often very inaccurate
+	After        []int           `cbor:"4,keyasint,omitempty"`  // numbers of earlier steps that must be done first
+	Gang         bool            `cbor:"5,keyasint,omitempty"`  // the tasks only work if all run at once
+	SameRack     bool            `cbor:"6,keyasint,omitempty"`  // the tasks are slow when spread over racks
+	Label        string          `cbor:"7,keyasint,omitempty"`  // required label of the worker
+	Rack         string          `cbor:"8,keyasint,omitempty"`  // rack of the input data; the tasks are slow elsewhere
+	PerWorker    int             `cbor:"9,keyasint,omitempty"`  // maximum number of tasks on one worker; zero is no limit
+	AllowsCopies bool            `cbor:"10,keyasint,omitempty"` // several copies of a task may run; the first end counts
+	Lasting      bool            `cbor:"11,keyasint,omitempty"` // runs until the job is cancelled
+	Image        string          `cbor:"12,keyasint,omitempty"` // tasks with the same image have similar interference
+	Target       time.Duration   `cbor:"13,keyasint,omitempty"` // upper bound of a serving task's tail latency
+	Fills        bool            `cbor:"14,keyasint,omitempty"` // filling task: uses only idle processor time
+	MaxStopped   int             `cbor:"15,keyasint,omitempty"` // number of lasting tasks that the owner may stop at the same time
+	Checkpoints  bool            `cbor:"16,keyasint,omitempty"` // the tasks write checkpoints
 }
 
 // Reserved returns the capacity that one task of the step reserves on a worker. A
@@ -129,8 +129,8 @@
 	return j.First + int64(occurrence)*j.Interval
 }
 
-// Width returns the number of tasks of one occurrence.
-func (j *Job) Width() int {
+// TaskCount returns the number of tasks of one occurrence.
+func (j *Job) TaskCount() int {
 	n := 0
 	for i := range j.Steps {
 		n += j.Steps[i].Count
@@ -166,7 +166,7 @@
 	if s.Count < 1 || s.Count > MaxTasks {
 		return fault.New(fault.Invalid, "step %d: count %d", number, s.Count)
 	}
-	if s.Need.IsNegative() || s.PerWorker < 0 || s.MayMiss < 0 || s.Estimate < 0 {
+	if s.Need.IsNegative() || s.PerWorker < 0 || s.MaxStopped < 0 || s.Estimate < 0 {
 		return fault.New(fault.Invalid, "step %d: an amount is negative", number)
 	}
 	for _, a := range s.After {
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -26,7 +26,7 @@
 		{"too many tasks", job.Job{Steps: []job.Step{{Count: 20_000}, {Count: 1}}}, "20001 tasks"},
 		{"a long command", job.Job{Spec: strings.Repeat("x", 4001), Steps: one}, "4001 bytes"},
 		{"negative times", job.Job{Times: -1, Steps: one}, "-1 occurrences"},
-		{"a negative amount", job.Job{Steps: []job.Step{{Count: 1, MayMiss: -1}}}, "negative"},
+		{"a negative amount", job.Job{Steps: []job.Step{{Count: 1, MaxStopped: -1}}}, "negative"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/progress/progress.go
+++ b/progress/progress.go
@@ -5,7 +5,7 @@
 // Usage:
 //
 //	p := progress.New(j)
-//	p.Fail(task, attempt)
+//	p.RecordFailure(task, attempt)
 //	if p.Failures(task) >= j.Terms.Attempts {
 //		p.State = progress.Failed
 //	}
@@ -131,8 +131,8 @@
 	return n/8 < len(done) && done[n/8]&(1<<(n%8)) != 0
 }
 
-// Done records that a task has succeeded. It reports whether the record changed.
-func (p *Progress) Done(t job.Task) bool {
+// RecordDone records that a task has succeeded. It reports whether the record changed.
+func (p *Progress) RecordDone(t job.Task) bool {
 	if p.IsDone(t) {
 		return false
 	}
@@ -157,10 +157,10 @@
 	}
 }
 
-// Fail records a failed attempt at a task. It reports whether the record changed. A worker
+// RecordFailure records a failed attempt at a task. It reports whether the record changed. A worker
 // repeats the end of an attempt until it is acknowledged, also to the next owner;
 // counting it twice would fail the job too early.
-func (p *Progress) Fail(t job.Task, attempt uint64) bool {
+func (p *Progress) RecordFailure(t job.Task, attempt uint64) bool {
 	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
 	if slices.Contains(r.Failed[n], attempt) {
@@ -179,9 +179,9 @@
 	return len(p.Rounds[t.Occurrence].Failed[p.taskNumber(t)])
 }
 
-// Save records the checkpoint of an interrupted task. It reports whether the record
+// SetCheckpoint records the checkpoint of an interrupted task. It reports whether the record
 // changed.
-func (p *Progress) Save(t job.Task, checkpoint string) bool {
+func (p *Progress) SetCheckpoint(t job.Task, checkpoint string) bool {
 	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
 	if checkpoint == "" || r.Saved[n] == checkpoint {
@@ -195,8 +195,8 @@
 	return true
 }
 
-// Saved returns the checkpoint from which a task resumes, empty if there is none.
-func (p *Progress) Saved(t job.Task) string {
+// Checkpoint returns the checkpoint from which a task resumes, empty if there is none.
+func (p *Progress) Checkpoint(t job.Task) string {
 	return p.Rounds[t.Occurrence].Saved[p.taskNumber(t)]
 }
 
--- a/progress/progress_test.go
+++ b/progress/progress_test.go
@@ -14,14 +14,14 @@
 	j := &job.Job{ID: "a", Steps: []job.Step{{Count: 9}, {Count: 3}}}
 	task := job.Task{Job: "a", Step: 1, Index: 2}
 	p := progress.New(j)
-	is.True(p.Fail(task, 7))
-	is.True(!p.Fail(task, 7)) // reported again
-	is.True(p.Fail(task, 8))
+	is.True(p.RecordFailure(task, 7))
+	is.True(!p.RecordFailure(task, 7)) // reported again
+	is.True(p.RecordFailure(task, 8))
 	is.Equal(p.Failures(task), 2)
-	is.True(p.Save(task, "x"))
-	is.True(!p.Save(task, "x"))
-	is.True(p.Done(task))
-	is.True(!p.Done(task))
+	is.True(p.SetCheckpoint(task, "x"))
+	is.True(!p.SetCheckpoint(task, "x"))
+	is.True(p.RecordDone(task))
+	is.True(!p.RecordDone(task))
 	is.True(!p.IsDone(job.Task{Job: "a", Step: 1, Index: 1}))
 }
 
@@ -30,8 +30,8 @@
 	j := &job.Job{ID: "a", Steps: []job.Step{{Count: 9}, {Count: 3}}, Times: 2}
 	done := job.Task{Job: "a", Step: 0, Index: 8}
 	p := progress.New(j)
-	p.Done(done)
-	p.Fail(job.Task{Job: "a", Occurrence: 1, Step: 1}, 4)
+	p.RecordDone(done)
+	p.RecordFailure(job.Task{Job: "a", Occurrence: 1, Step: 1}, 4)
 	p.Close(5)
 	p.State = progress.Running
 	data, err := p.Encode()
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -25,9 +25,9 @@
 
 // Service is a pool of workers.
 type Service struct {
-	Name    string
-	Guarded bool // its workers refuse tasks that exceed their capacity
-	Standby bool // its workers are off until they are moved to another pool
+	Name             string
+	EnforcesCapacity bool // its workers refuse tasks that exceed their capacity
+	Standby          bool // its workers are off until they are moved to another pool
 }
 
 // Limits bound the size of a request.
@@ -81,8 +81,8 @@
 	return &t.queues[best], path[len(t.queues[best].Prefix):], true
 }
 
-// Named returns the queue with a name.
-func (t *Table) Named(name string) (*Queue, bool) {
+// ByName returns the queue with a name.
+func (t *Table) ByName(name string) (*Queue, bool) {
 	i, ok := t.byName[name]
 	if !ok {
 		return nil, false
