--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -102,8 +102,8 @@
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		services := map[string]route.Service{
-			"a": {Name: "a", Group: "x", Weight: 2, Queue: 3, Slots: 4},
-			"b": {Name: "b", Group: "x", Weight: 2, Queue: 3, Slots: 4},
+			"a": {Name: "a", Group: "x", Weight: 2, Queue: 3, GroupSlots: 4},
+			"b": {Name: "b", Group: "x", Weight: 2, Queue: 3, GroupSlots: 4},
 			"c": {Name: "c", Group: "y", Weight: 1, Queue: 3},
 		}
 		g := admission.New(admission.WithHeadroom(0))
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -211,7 +211,7 @@
 		kind     fault.Kind
 	}{
 		{"queue", route.Service{Queue: 5}, 0, 8, 5, fault.Overloaded},
-		{"group's slots", route.Service{Queue: 5, Slots: 3}, 0, 3, 5, fault.OverShare},
+		{"group's slots", route.Service{Queue: 5, GroupSlots: 3}, 0, 3, 5, fault.OverShare},
 		{"no queue", route.Service{}, 0, 8, 0, fault.Overloaded},
 		{"forwarded", route.Service{Queue: 5}, 1, 8, 0, fault.Overloaded},
 	}
--- a/admission/group.go
+++ b/admission/group.go
@@ -24,7 +24,7 @@
 func (gr *group) include(s *service) {
 	gr.services = append(gr.services, s)
 	gr.weight = max(gr.weight, s.Weight)
-	gr.maxSlots = max(gr.maxSlots, s.Slots)
+	gr.maxSlots = max(gr.maxSlots, s.GroupSlots)
 }
 
 func (gr *group) isAtMaxSlots() bool {
--- a/cell/job.go
+++ b/cell/job.go
@@ -284,7 +284,7 @@
 	if s.tasksLeft > 0 {
 		return
 	}
-	s.job.delays.Join(&t.delays)
+	s.job.delays.Merge(&t.delays)
 	s.round.stepsLeft--
 	for _, next := range s.round.steps {
 		c.openStep(next)
--- a/cell/limiter.go
+++ b/cell/limiter.go
@@ -37,10 +37,10 @@
 
 func newStartLimiter() startLimiter {
 	return startLimiter{limit: limit.New(
-		limit.WithAim(targetLatency),
+		limit.WithTargetLatency(targetLatency),
 		limit.WithMax(maxStarts),
 		limit.WithMin(minStarts),
-		limit.WithStart(initialStarts),
+		limit.WithInitial(initialStarts),
 		limit.WithSamples(minSamples),
 	)}
 }
--- a/controller/claim.go
+++ b/controller/claim.go
@@ -114,7 +114,7 @@
 		if !ok {
 			continue
 		}
-		offer := c.colocation.planner.Offer(c.placementCandidate(now, w, available))
+		offer := c.colocation.planner.BatchCapacity(c.placementCandidate(now, w, available))
 		if !offer.IsNegative() && !offer.IsZero() {
 			in.Workers = append(in.Workers, share.Worker{ID: w.id, Free: offer, Running: c.runningTasks(w)})
 		}
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -59,10 +59,10 @@
 	leastLost := time.Duration(-1)
 	for _, id := range sortedKeys(free) {
 		candidate := c.placementCandidate(now, c.workers[id], free[id])
-		if !c.colocation.planner.Open(candidate) {
+		if !c.colocation.planner.AcceptsBatch(candidate) {
 			continue
 		}
-		victims, sum, ok := c.selectVictims(now, c.workers[id], c.colocation.planner.Offer(candidate), limit, t)
+		victims, sum, ok := c.selectVictims(now, c.workers[id], c.colocation.planner.BatchCapacity(candidate), limit, t)
 		if ok && (leastLost < 0 || sum < leastLost) {
 			bestVictims, target, leastLost = victims, c.workers[id], sum
 		}
--- a/delay/delay.go
+++ b/delay/delay.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Join adds the durations of another account.
-func (a *Account) Join(other *Account) {
+// Merge adds the durations of another account.
+func (a *Account) Merge(other *Account) {
 	for c, d := range other.byCause {
 		a.byCause[c] += d
 	}
--- a/delay/delay_test.go
+++ b/delay/delay_test.go
@@ -19,7 +19,7 @@
 	first.Add(delay.Longer, -time.Second) // ran shorter than estimated
 	second.Add(delay.Failed, 150*time.Millisecond)
 	second.Add(delay.Failed, 100*time.Millisecond)
-	first.Join(&second)
+	first.Merge(&second)
 	cause, longest = first.Largest()
 	is.Equal(cause.String(), "failed")
 	is.Equal(longest, 250*time.Millisecond)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -36,7 +36,7 @@
 		table.Backends["price"][i].Slots = 64
 	}
 	service := table.Services["price"]
-	service.Slots = 640
+	service.GroupSlots = 640
 	service.Queue = 640
 	table.Services["price"] = service
 	return table
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -206,7 +206,7 @@
 		Instance:         instance,
 		AvailabilityZone: "a",
 		Services: map[string]route.Service{
-			"price": {Name: "price", Group: "yard", Weight: 1, Timeout: 10 * time.Second, Queue: 8, Slots: 64},
+			"price": {Name: "price", Group: "yard", Weight: 1, Timeout: 10 * time.Second, Queue: 8, GroupSlots: 64},
 		},
 		Backends: map[string][]route.Backend{},
 	}
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -82,16 +82,16 @@
 	return func(l *Limit) { l.tolerance = factor }
 }
 
-// WithAim selects the algorithm Aim with the given target latency.
-func WithAim(latency time.Duration) Option {
+// WithTargetLatency selects the algorithm Aim with the given target latency.
+func WithTargetLatency(latency time.Duration) Option {
 	return func(l *Limit) {
 		l.algorithm = Aim
 		l.targetLatency = latency.Seconds()
 	}
 }
 
-// WithStart sets the initial value of the bound, the maximum by default.
-func WithStart(n int) Option {
+// WithInitial sets the initial value of the bound, the maximum by default.
+func WithInitial(n int) Option {
 	return func(l *Limit) { l.value = float64(n) }
 }
 
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -92,7 +92,7 @@
 func TestAimKeepsTheQueueShort(t *testing.T) {
 	const aim = 80 * time.Millisecond
 	is := is.New(t)
-	l := limit.New(limit.WithAim(aim), limit.WithMax(256), limit.WithMin(8), limit.WithStart(256), limit.WithSamples(8))
+	l := limit.New(limit.WithTargetLatency(aim), limit.WithMax(256), limit.WithMin(8), limit.WithInitial(256), limit.WithSamples(8))
 	linkLatency := func(perSecond int) func(int) time.Duration {
 		return func(n int) time.Duration {
 			return max(4*time.Millisecond, time.Duration(n)*time.Second/time.Duration(perSecond))
@@ -113,7 +113,7 @@
 // for 0.9 s, which must not be taken for congestion of the link.
 func TestAimIsNotMovedByAFewSilentServers(t *testing.T) {
 	is := is.New(t)
-	l := limit.New(limit.WithAim(80*time.Millisecond), limit.WithMax(256), limit.WithMin(8), limit.WithStart(64), limit.WithSamples(8))
+	l := limit.New(limit.WithTargetLatency(80*time.Millisecond), limit.WithMax(256), limit.WithMin(8), limit.WithInitial(64), limit.WithSamples(8))
 	now := time.Unix(0, 0)
 	for i := range 5000 {
 		now = now.Add(time.Millisecond)
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -103,7 +103,7 @@
 	t.Helper()
 	sum := 0
 	for _, l := range lines {
-		if !strings.Contains(l, fmt.Sprintf("msg=%q kind=%q ", timeline.LeftOut, kind)) {
+		if !strings.Contains(l, fmt.Sprintf("msg=%q kind=%q ", timeline.OmittedMessage, kind)) {
 			continue
 		}
 		_, number, _ := strings.Cut(l, "count=")
--- a/logs/writer.go
+++ b/logs/writer.go
@@ -82,7 +82,7 @@
 	defer w.mu.Unlock()
 	for _, message := range slices.Sorted(maps.Keys(w.dropped)) {
 		w.buffer = fmt.Appendf(w.buffer, "ts=%s level=warn msg=%q kind=%q count=%d\n",
-			now.UTC().Format(time.RFC3339Nano), timeline.LeftOut, message, w.dropped[message])
+			now.UTC().Format(time.RFC3339Nano), timeline.OmittedMessage, message, w.dropped[message])
 	}
 	clear(w.dropped)
 }
--- a/loss/loss.go
+++ b/loss/loss.go
@@ -73,7 +73,7 @@
 		if err == nil { // older versions don't log it
 			t.overTargetSeconds += over
 		}
-	case timeline.LeftOut:
+	case timeline.OmittedMessage:
 		n, err := strconv.Atoi(e.Field("count"))
 		if err == nil {
 			t.omitted[e.Field("kind")] += n
--- a/placement/offer.go
+++ b/placement/offer.go
@@ -2,10 +2,10 @@
 
 import "github.com/dogwoodladder/dogwoodladder/resource"
 
-// Offer returns the free capacity of a worker for batch tasks before the task is known.
+// BatchCapacity returns the free capacity of a worker for batch tasks before the task is known.
 // A selection based on it picks few tasks that Choose then leaves waiting.
-func (p *Planner) Offer(c Candidate) resource.Vector {
-	if !p.Open(c) {
+func (p *Planner) BatchCapacity(c Candidate) resource.Vector {
+	if !p.AcceptsBatch(c) {
 		return resource.Vector{}
 	}
 	free := c.Free
@@ -15,8 +15,8 @@
 	return free
 }
 
-// Open reports whether a worker may take batch tasks, apart from its free capacity.
-func (p *Planner) Open(c Candidate) bool {
+// AcceptsBatch reports whether a worker may take batch tasks, apart from its free capacity.
+func (p *Planner) AcceptsBatch(c Candidate) bool {
 	if c.Quarantined {
 		return false
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -33,7 +33,7 @@
 	Timeout    time.Duration // of a request without a deadline
 	Idempotent bool          // requests of every method may be retried
 	Queue      int           // maximum number of requests waiting at this instance
-	Slots      int           // maximum number of slots of the group on this instance
+	GroupSlots int           // maximum number of slots of the group on this instance
 }
 
 // Backend is a replica of a service on an owned worker.
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -32,9 +32,9 @@
 // maxLineLength is the maximum length of a line. Common log collectors truncate longer ones.
 const maxLineLength = 1 << 20
 
-// LeftOut is the message of the lines about lines omitted from a log: the field kind
+// OmittedMessage is the message of the lines about lines omitted from a log: the field kind
 // holds the message of the omitted lines, the field count their number.
-const LeftOut = "lines left out"
+const OmittedMessage = "lines left out"
 
 // Event is one line of a log.
 type Event struct {
