--- a/cell/advice.go
+++ b/cell/advice.go
@@ -107,7 +107,7 @@
 	for _, t := range in.Tickets {
 		if w := c.workerSince(t.Host, in.Sent); w != nil {
 			s.advice.allowed[w] = true
-			s.advice.tickets[w] = ticket{value: t.Ticket, expiresAt: in.Sent + in.Valid - ticketMargin}
+			s.advice.tickets[w] = ticket{value: t.Value, expiresAt: in.Sent + in.Valid - ticketMargin}
 		}
 	}
 	c.logEvent("advice", "job", in.Job, "step", in.Step, "asked", len(in.Hosts), "allowed", len(in.Tickets))
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -145,7 +145,7 @@
 	for _, h := range inOrder(recorded.Hosts()) {
 		w := c.addWorker(h)
 		w.registered = true
-		w.born = h.Born
+		w.born = h.StartedAt
 		c.survey.add(w)
 	}
 	c.survey.restoreCrashed(self.Term, recorded.Crashed())
--- a/cell/end.go
+++ b/cell/end.go
@@ -5,7 +5,7 @@
 )
 
 // handleEnds processes the ends of runs that a worker lists and that weren't handled yet.
-func (c *Cell) handleEnds(w *worker, ended []provider.Ended) {
+func (c *Cell) handleEnds(w *worker, ended []provider.EndedRun) {
 	for i := range ended {
 		e := &ended[i]
 		if e.Number <= w.handledEnd {
@@ -16,10 +16,10 @@
 	}
 }
 
-func (c *Cell) handleEnd(w *worker, e *provider.Ended) {
+func (c *Cell) handleEnd(w *worker, e *provider.EndedRun) {
 	r := w.runs[e.Task]
 	if r != nil && r.attempt == e.Attempt {
-		c.endRun(r, e.How, e.Checkpoint)
+		c.endRun(r, e.End, e.Checkpoint)
 		return
 	}
 	t := c.findTask(e.Task)
@@ -28,7 +28,7 @@
 	}
 	t.attempt = max(t.attempt, e.Attempt)
 	c.retractCrash(t, e.Attempt)
-	switch e.How {
+	switch e.End {
 	case provider.EndDone:
 		if !t.step.spec.Lasting {
 			c.endUntracked(t)
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -165,7 +165,7 @@
 			continue
 		}
 		if w.entryUnsound {
-			list.Unsound = append(list.Unsound, w.host.ID)
+			list.Invalid = append(list.Invalid, w.host.ID)
 			continue
 		}
 		h := w.host
@@ -385,7 +385,7 @@
 		}
 		sent := s.now
 		o.sendOrder(a.Order.Host, orderBytes, a.Order.Wait, func(w *fakeWorker) any { return w.hold(a.Order) }, func(out any, err error) cell.Input {
-			held, _ := out.(provider.Held)
+			held, _ := out.(provider.HoldResult)
 			return cell.HoldReply{Host: a.Order.Host.ID, Token: a.Order.Token, Sent: sent, Held: held, Err: err}
 		})
 	case cell.Start:
@@ -558,7 +558,7 @@
 		s.after(hopDelay+s.link.downDelay(s.now, out), func() { returnOutcome(out, nil) })
 	}
 	out := handle(w)
-	if held, ok := out.(provider.Held); ok && len(held.Ended) == 0 && wait > 0 {
+	if held, ok := out.(provider.HoldResult); ok && len(held.Ended) == 0 && wait > 0 {
 		answered := false
 		w.wait(wait, h.ID, func() {
 			answered = true
--- a/cell/hold.go
+++ b/cell/hold.go
@@ -19,7 +19,7 @@
 // sendHold sends a hold to a worker: it asks for the worker's runs and ends, acknowledges
 // recorded ends and renews the lease.
 func (c *Cell) sendHold(w *worker) {
-	order := provider.HoldOrder{Host: w.host, Token: w.token, Seen: c.acknowledgeUpTo(w), Wait: c.timing.HoldWait}
+	order := provider.HoldOrder{Host: w.host, Token: w.token, AckedEnd: c.acknowledgeUpTo(w), Wait: c.timing.HoldWait}
 	if len(w.runs) == 0 {
 		order.Wait = c.timing.IdleWait
 	}
@@ -39,7 +39,7 @@
 		w.leaseDeadline = max(w.leaseDeadline, order.Deadline)
 	}
 	w.holdInFlight = true
-	w.sentAck = order.Seen
+	w.sentAck = order.AckedEnd
 	c.emit(Hold{Order: order})
 }
 
@@ -101,7 +101,7 @@
 	w.clock = in.Held.Clock
 	w.clockReadAt = c.now
 	w.answered = true
-	w.born = cmp.Or(in.Held.Born, w.born)
+	w.born = cmp.Or(in.Held.StartedAt, w.born)
 }
 
 // scheduleHold sends the next hold, or delays it while ends that the worker lists aren't
@@ -170,7 +170,7 @@
 
 // updateForgottenEnd derives the highest end that the worker has forgotten from the ends
 // that it still lists.
-func (w *worker) updateForgottenEnd(listed []provider.Ended) {
+func (w *worker) updateForgottenEnd(listed []provider.EndedRun) {
 	w.forgottenEnd = max(w.forgottenEnd, w.sentAck)
 	for i := range listed {
 		w.forgottenEnd = min(w.forgottenEnd, listed[i].Number-1)
--- a/cell/hostlist.go
+++ b/cell/hostlist.go
@@ -88,7 +88,7 @@
 			c.logEvent("worker unlisted", "worker", w.host.ID, "runs", len(w.runs))
 		}
 	}
-	for _, id := range list.Unsound {
+	for _, id := range list.Invalid {
 		if w := c.workers[id]; w != nil {
 			w.listedUntil = c.now // it gets no more tasks
 		}
@@ -101,7 +101,7 @@
 // yet.
 func (l *hostList) isUnchanged(list provider.HostList) bool {
 	a, b := l.latest.Hosts, list.Hosts
-	if len(a) != len(b) || !slices.Equal(l.latest.Unsound, list.Unsound) {
+	if len(a) != len(b) || !slices.Equal(l.latest.Invalid, list.Invalid) {
 		return false
 	}
 	return len(a) == 0 || &a[0] == &b[0]
@@ -111,14 +111,14 @@
 	w := c.workers[h.ID]
 	if w == nil {
 		w = c.addWorker(h)
-		c.logEvent("worker", "worker", h.ID, "born", h.Born, "zone", h.AvailabilityZone, "labels", strings.Join(h.Labels, ","), "draining", h.Draining)
+		c.logEvent("worker", "worker", h.ID, "born", h.StartedAt, "zone", h.AvailabilityZone, "labels", strings.Join(h.Labels, ","), "draining", h.Draining)
 	}
 	startsDraining := h.Draining && !w.host.Draining
 	if h.Capacity != w.host.Capacity {
 		c.logEvent("worker resized", "worker", h.ID, "from", w.host.Capacity.String(), "to", h.Capacity.String(), "used", w.used.String())
 		c.markChanged(w)
 	}
-	if w.born != 0 && h.Born != 0 && h.Born != w.born && h.Born != w.host.Born {
+	if w.born != 0 && h.StartedAt != 0 && h.StartedAt != w.born && h.StartedAt != w.host.StartedAt {
 		c.suspectRestart(w)
 	}
 	if h.Service != w.host.Service {
@@ -128,7 +128,7 @@
 	w.host = h
 	w.listed = true
 	if startsDraining {
-		c.logEvent("worker draining", "worker", h.ID, "runs", len(w.runs), "left", h.Left)
+		c.logEvent("worker draining", "worker", h.ID, "runs", len(w.runs), "left", h.TimeLeft)
 		c.evacuate(w)
 	}
 }
@@ -137,14 +137,14 @@
 // incarnation that answers. Another incarnation may have another capacity and other
 // labels.
 func (w *worker) hasCurrentEntry() bool {
-	return w.born == 0 || w.host.Born == 0 || w.host.Born == w.born
+	return w.born == 0 || w.host.StartedAt == 0 || w.host.StartedAt == w.born
 }
 
 // addListedSuccessor adds the worker that is listed under the ID of a lost one if it is
 // another incarnation. The list may have shown it before the loss was noticed.
 func (c *Cell) addListedSuccessor(lost *worker) {
 	for _, h := range c.hosts.latest.Hosts {
-		if h.ID == lost.host.ID && lost.born != 0 && h.Born != 0 && h.Born != lost.born {
+		if h.ID == lost.host.ID && lost.born != 0 && h.StartedAt != 0 && h.StartedAt != lost.born {
 			c.updateHost(h)
 		}
 	}
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -21,17 +21,17 @@
 
 // isReplacedBy reports whether an answer comes from another incarnation than the one that
 // answered before, or that is on record.
-func (w *worker) isReplacedBy(held *provider.Held) bool {
-	if w.born != 0 && held.Born != 0 {
-		return w.born != held.Born
+func (w *worker) isReplacedBy(held *provider.HoldResult) bool {
+	if w.born != 0 && held.StartedAt != 0 {
+		return w.born != held.StartedAt
 	}
 	return w.answered && held.Clock < w.clock
 }
 
 // handleRestart replaces a worker by its next incarnation, which shares nothing with it
 // but the ID.
-func (c *Cell) handleRestart(w *worker, held *provider.Held) {
-	c.logEvent("worker restarted", "worker", w.host.ID, "born", held.Born, "before", w.born, "runs", len(w.runs))
+func (c *Cell) handleRestart(w *worker, held *provider.HoldResult) {
+	c.logEvent("worker restarted", "worker", w.host.ID, "born", held.StartedAt, "before", w.born, "runs", len(w.runs))
 	c.endIncarnation(w, "restarted")
 	next := c.workers[w.host.ID]
 	if next == nil {
@@ -115,7 +115,7 @@
 // resolveStarts resolves the starts in flight to earlier incarnations when a worker
 // answers for the first time. A start whose run the answer lists is dropped, as the run is
 // adopted; the others count as lost.
-func (c *Cell) resolveStarts(w *worker, held *provider.Held) {
+func (c *Cell) resolveStarts(w *worker, held *provider.HoldResult) {
 	starts := c.unresolvedStarts[w.host.ID]
 	if len(starts) == 0 {
 		return
@@ -170,7 +170,7 @@
 }
 
 // reportedRuns returns the runs that an answer lists as running or ended.
-func reportedRuns(held *provider.Held) map[runID]bool {
+func reportedRuns(held *provider.HoldResult) map[runID]bool {
 	reported := make(map[runID]bool, len(held.Running)+len(held.Ended))
 	for i := range held.Running {
 		reported[runID{held.Running[i].Task, held.Running[i].Attempt}] = true
--- a/cell/input.go
+++ b/cell/input.go
@@ -31,7 +31,7 @@
 	Host  string
 	Token uint64        // of the order
 	Sent  time.Duration // when the order was sent
-	Held  provider.Held
+	Held  provider.HoldResult
 	Err   error
 }
 
--- a/cell/invariants_test.go
+++ b/cell/invariants_test.go
@@ -36,7 +36,7 @@
 	if !w.fitWithin(used, shrinkNotice) {
 		s.recordViolation("capacity: %s on %s: %v", o.Task, w.host.ID, used)
 	}
-	if s.checkRecords && s.store.readCatalog(s.t).Hosts()[w.host.ID].Born != w.host.Born {
+	if s.checkRecords && s.store.readCatalog(s.t).Hosts()[w.host.ID].StartedAt != w.host.StartedAt {
 		s.recordViolation("record: %s on %s, of which this incarnation isn't on record", o.Task, w.host.ID)
 	}
 	for _, other := range s.workers {
@@ -141,8 +141,8 @@
 }
 
 // recordAcknowledged records an end that a worker may forget.
-func (s *site) recordAcknowledged(e provider.Ended) {
-	switch e.How {
+func (s *site) recordAcknowledged(e provider.EndedRun) {
+	switch e.End {
 	case provider.EndDone:
 		s.acknowledgedDone[e.Task] = !s.isLasting(e.Task)
 	case provider.EndFailed:
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -46,7 +46,7 @@
 		return 0
 	}
 	bytes := answerBytes
-	if held, ok := answer.(provider.Held); ok {
+	if held, ok := answer.(provider.HoldResult); ok {
 		bytes += rowBytes * (len(held.Running) + len(held.Ended))
 	}
 	return l.transmit(&l.downFree, now, bytes)
--- a/cell/report.go
+++ b/cell/report.go
@@ -33,7 +33,7 @@
 	if p.Checkpoint != "" {
 		r.task.checkpoint = p.Checkpoint
 	}
-	r.tail = p.Tail
+	r.tail = p.TailLatency
 	r.processorsUsed = p.Processors
 }
 
@@ -93,7 +93,7 @@
 // endMissingRuns ends the runs that a worker's answer doesn't list. A start whose deadline
 // had passed when the answer was made can't happen any more. A run that was listed before
 // and no longer is has ended without a listed end.
-func (c *Cell) endMissingRuns(w *worker, held provider.Held) {
+func (c *Cell) endMissingRuns(w *worker, held provider.HoldResult) {
 	if len(w.runs) <= len(held.Running) {
 		return
 	}
@@ -107,7 +107,7 @@
 		}
 		if held.Clock > r.deadline {
 			c.logEvent("not running", "task", name, "attempt", r.attempt, "worker", w.host.ID, "state", int(r.state),
-				"born", held.Born, "ended", w.handledEnd, "seen", w.recordedEnd)
+				"born", held.StartedAt, "ended", w.handledEnd, "seen", w.recordedEnd)
 			c.endRun(r, provider.EndLapsed, "")
 		}
 	}
--- a/cell/restart_test.go
+++ b/cell/restart_test.go
@@ -158,7 +158,7 @@
 	s.run(2 * time.Second)
 	previous := s.workers[0].held()
 	lateReply := cell.HoldReply{Host: s.workers[0].host.ID, Token: token, Sent: s.now, Held: previous}
-	lateReply.Held.Ended = []provider.Ended{{Number: 9, Task: jobID(7) + ".0.0.0", Attempt: 1, How: provider.EndDone}}
+	lateReply.Held.Ended = []provider.EndedRun{{Number: 9, Task: jobID(7) + ".0.0.0", Attempt: 1, End: provider.EndDone}}
 	s.restartEvery(3, 500*time.Millisecond, false)
 	s.run(4 * time.Second)
 	submitJobs(s, 3)
@@ -200,7 +200,7 @@
 		list := first
 		list.AsOf = s.now
 		list.Hosts = slices.Clone(first.Hosts)
-		list.Hosts[0].Born = 1 + born
+		list.Hosts[0].StartedAt = 1 + born
 		s.owners[0].step(cell.Hosts{List: list})
 	}
 	is.True(s.owners[0].cell == nil)
@@ -282,7 +282,7 @@
 	s.owners[0].kill()
 	s.run(s.now + 300*time.Millisecond)
 	s.owners[1].takeOver()
-	for s.workers[0].previousEntry.ID == "" || s.store.readCatalog(t).Hosts()["w0-0"].Born != s.workers[0].host.Born {
+	for s.workers[0].previousEntry.ID == "" || s.store.readCatalog(t).Hosts()["w0-0"].StartedAt != s.workers[0].host.StartedAt {
 		s.run(s.now + tickInterval)
 	}
 	s.run(s.now + 700*time.Millisecond)
--- a/cell/services_test.go
+++ b/cell/services_test.go
@@ -30,7 +30,7 @@
 			if s.isAllowed(h) {
 				ticket := fmt.Sprintf("%s/%d/%v", h, s.bornOf(h), s.now)
 				s.tickets[ticket] = s.now + ticketTime
-				reply.Tickets = append(reply.Tickets, provider.Ticket{Host: h, Ticket: ticket})
+				reply.Tickets = append(reply.Tickets, provider.Ticket{Host: h, Value: ticket})
 			}
 		}
 		if o.generation == generation {
@@ -43,7 +43,7 @@
 func (s *site) bornOf(id string) uint64 {
 	for _, w := range s.workers {
 		if w.up && w.host.ID == id {
-			return w.host.Born
+			return w.host.StartedAt
 		}
 	}
 	return 0
--- a/cell/wave.go
+++ b/cell/wave.go
@@ -40,7 +40,7 @@
 			w = &wave{inUpkeep: make(map[string]*upkeep)}
 			w.progress = c.recordedWaves[spec.Number]
 			c.waves[spec.Number] = w
-			c.logEvent("wave", "wave", spec.Number, "machines", len(spec.Machines), "most", spec.Most, "completed", w.progress.Completed)
+			c.logEvent("wave", "wave", spec.Number, "machines", len(spec.Machines), "most", spec.MaxConcurrent, "completed", w.progress.Completed)
 			c.reportWave(spec.Number, w)
 		}
 		w.spec = spec
@@ -71,7 +71,7 @@
 
 func (c *Cell) advanceWave(w *wave) {
 	for _, m := range w.spec.Machines {
-		if len(w.inUpkeep) >= max(1, w.spec.Most) {
+		if len(w.inUpkeep) >= max(1, w.spec.MaxConcurrent) {
 			break
 		}
 		if w.inUpkeep[m] == nil && !slices.Contains(w.progress.Begun, m) {
--- a/cell/wave_test.go
+++ b/cell/wave_test.go
@@ -27,7 +27,7 @@
 	s.after(1195*time.Millisecond, func() { s.workers[0].host.Address = "10.0.1.0:1" }) // so that the first incarnation doesn't answer
 	s.after(4200*time.Millisecond, func() { s.submit(lasting) })
 	s.after(6*time.Second, func() {
-		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, Most: 1}}})
+		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
 	})
 	runsAtUpkeep := 0
 	s.onUpkeep = func(w *fakeWorker) { runsAtUpkeep = len(w.runs) }
@@ -56,7 +56,7 @@
 			s := newSite(t, 1, 5, 2)
 			s.duration = func(string) time.Duration { return time.Hour }
 			s.tail = func(string, *fakeWorker) time.Duration { return 0 }
-			s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: tt.maxDown, Within: time.Minute}}
+			s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, MaxConcurrent: tt.maxDown, CompleteWithin: time.Minute}}
 			lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(4, 2)}}
 			lasting.Steps[0].Lasting = true
 			lasting.Steps[0].MaxStopped = 1
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	s := newSite(t, 2, 5, 1)
 	s.keepIDs = true
-	s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: 1, Within: time.Minute}}
+	s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, MaxConcurrent: 1, CompleteWithin: time.Minute}}
 	s.owners[0].takeOver()
 	maxDown := 0
 	var watch func()
@@ -117,7 +117,7 @@
 	s.after(5700*time.Millisecond, func() { s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(12, 2)}}) })
 	s.owners[0].takeOver()
 	s.after(6*time.Second, func() {
-		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, Most: 1}}})
+		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
 	})
 	s.after(6100*time.Millisecond, func() {
 		is.True(len(s.workers[0].runs) > 0) // it is being drained
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -181,7 +181,7 @@
 		return nil
 	}
 	h := w.host
-	h.Born = w.born
+	h.StartedAt = w.born
 	return &h
 }
 
--- a/cell/worker_test.go
+++ b/cell/worker_test.go
@@ -32,7 +32,7 @@
 	deadline           int64
 	runs               map[string]*fakeRun
 	highestEnded       map[string]uint64 // highest attempt that ended or was stopped, by task
-	ended              []provider.Ended
+	ended              []provider.EndedRun
 	endCount           uint64
 	acksToIgnore       int    // acknowledgements that it ignores
 	ackMark            uint64 // highest acknowledged end, if acksCoverLaterEnds
@@ -76,7 +76,7 @@
 			Machine:          fmt.Sprintf("m%d", number),
 			Labels:           []string{fmt.Sprintf("r%d", number/s.rackSize)},
 			Capacity:         resource.Vector{Processors: workerCores, Memory: workerMemory},
-			Born:             bornAt(s.now, number, incarnation),
+			StartedAt:        bornAt(s.now, number, incarnation),
 		},
 		runs:         make(map[string]*fakeRun),
 		highestEnded: make(map[string]uint64),
@@ -207,9 +207,9 @@
 	w.crash(down, w.site.incarnations)
 	w.site.after(down, func() {
 		next := w.site.workerAt(w.host)
-		born := next.host.Born
+		born := next.host.StartedAt
 		next.host = w.host
-		next.host.Born = born
+		next.host.StartedAt = born
 		next.previousEntry = before
 		next.entryListedAt = w.site.now + w.site.entryDelay
 	})
@@ -237,11 +237,11 @@
 	if o.Deadline > 0 {
 		w.extendLease(o.Deadline)
 	}
-	if o.Seen > 0 && w.acksToIgnore > 0 {
+	if o.AckedEnd > 0 && w.acksToIgnore > 0 {
 		w.acksToIgnore--
 		return w.held()
 	}
-	w.forget(o.Seen)
+	w.forget(o.AckedEnd)
 	return w.held()
 }
 
@@ -257,15 +257,15 @@
 	}
 }
 
-func (w *fakeWorker) held() provider.Held {
-	held := provider.Held{Born: w.host.Born, Clock: w.clock(), Ended: slices.Clone(w.ended)}
+func (w *fakeWorker) held() provider.HoldResult {
+	held := provider.HoldResult{StartedAt: w.host.StartedAt, Clock: w.clock(), Ended: slices.Clone(w.ended)}
 	for _, name := range sortedNames(w.runs) {
 		r := w.runs[name]
 		percent := int(100 * r.progress(w.site.now) / (r.duration + 1))
 		run := provider.Run{Task: name, Attempt: r.attempt, Percent: percent, Processors: w.site.processorsOf(name) * int64(r.pace) / 100}
 		if w.site.tail != nil && w.site.isLasting(name) {
 			run.Percent = 100
-			run.Tail = w.site.tail(name, w)
+			run.TailLatency = w.site.tail(name, w)
 		}
 		held.Running = append(held.Running, run)
 	}
@@ -306,10 +306,10 @@
 		return provider.Accepted
 	}
 	if o.Attempt <= w.highestEnded[o.Task] {
-		return provider.RefusedOld
+		return provider.RefusedAttempt
 	}
 	w.extendLease(o.Deadline)
-	if s.isAllowed != nil && (s.tickets[o.Ticket] < s.now || !strings.HasPrefix(o.Ticket, fmt.Sprintf("%s/%d/", w.host.ID, w.host.Born))) {
+	if s.isAllowed != nil && (s.tickets[o.Ticket] < s.now || !strings.HasPrefix(o.Ticket, fmt.Sprintf("%s/%d/", w.host.ID, w.host.StartedAt))) {
 		s.ticketsRefused++
 		return provider.RefusedTicket
 	}
@@ -392,7 +392,7 @@
 	}
 	w.highestEnded[name] = max(w.highestEnded[name], r.attempt)
 	w.endCount++
-	w.ended = append(w.ended, provider.Ended{Number: w.endCount, Task: name, Attempt: r.attempt, How: how})
+	w.ended = append(w.ended, provider.EndedRun{Number: w.endCount, Task: name, Attempt: r.attempt, End: how})
 	w.forget(0)
 	waiters := w.waiters
 	w.waiters = nil
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -169,7 +169,7 @@
 	report := &outageLogger{logger: d.logger, dependency: "store", stream: stream}
 	apply := func(b tail.Batch) {
 		report.handleAnswer()
-		if len(b.Records) == 0 && !b.Whole {
+		if len(b.Records) == 0 && !b.IsComplete {
 			return
 		}
 		for _, r := range b.Records {
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func (s *slowStore) Put(ctx context.Context, name string, w *provider.Writer, records []provider.KeyedRecord) error {
+func (s *slowStore) Append(ctx context.Context, name string, w *provider.Writer, records []provider.KeyedRecord) error {
 	return s.write(ctx, name, w, nil, records)
 }
 
@@ -300,12 +300,12 @@
 	return len(m.starts) > 0 && m.starts[0].Host.ID == host
 }
 
-func (m *unresponsiveWorkers) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
+func (m *unresponsiveWorkers) Hold(ctx context.Context, o provider.HoldOrder) (provider.HoldResult, error) {
 	time.Sleep(5 * time.Millisecond)
 	if m.isUnresponsive(o.Host.ID) {
-		return provider.Held{}, fault.New(fault.MayHaveRun, "no answer")
+		return provider.HoldResult{}, fault.New(fault.MayHaveRun, "no answer")
 	}
-	return provider.Held{Clock: 1}, nil
+	return provider.HoldResult{Clock: 1}, nil
 }
 
 func (m *unresponsiveWorkers) Start(_ context.Context, o provider.StartOrder) (provider.Refusal, error) {
@@ -474,7 +474,7 @@
 	is.Helper()
 	owner, err := catalog.OwnerRecord(catalog.Owner{Term: 1, Instance: "fallen", Nonce: 7})
 	is.NoErr(err)
-	is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner}))
+	is.NoErr(store.Append(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner}))
 	return owner
 }
 
@@ -490,13 +490,13 @@
 		is.NoErr(err)
 		store.beforeClaim = func() { // the claimant hasn't read the job, and can't read it any more
 			store.setUnreadable(catalog.Accepts)
-			is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{accepted}))
+			is.NoErr(store.Append(ctx, catalog.Accepts, nil, []provider.KeyedRecord{accepted}))
 		}
 		d := start(ctx, store, 1)[0]
 		time.Sleep(100 * time.Millisecond)
 		running, err := catalog.ProgressRecord(newJob(1).ID, &progress.Progress{State: progress.Running, Claimed: true})
 		is.NoErr(err)
-		is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 2}, []provider.KeyedRecord{running}))
+		is.NoErr(store.Append(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 2}, []provider.KeyedRecord{running}))
 		time.Sleep(4 * time.Second)
 		d.Configure(queue.New(2, queue.Limits{}, nil, nil)) // notifies the control goroutine
 		time.Sleep(time.Second)
@@ -567,12 +567,12 @@
 				is.NoErr(err)
 				backlog, err := catalog.BacklogRecord(1, test.backlog)
 				is.NoErr(err)
-				is.NoErr(store.Put(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner, backlog}))
+				is.NoErr(store.Append(ctx, catalog.Progress, &provider.Writer{Name: "owner", Term: 1, Sequence: 1}, []provider.KeyedRecord{owner, backlog}))
 				known, err := catalog.AcceptRecord(newJob(2))
 				is.NoErr(err)
 				d := start(ctx, store, 1)[0]
-				time.Sleep(700 * time.Millisecond)                                            // two reads
-				is.NoErr(store.Put(ctx, catalog.Accepts, nil, []provider.KeyedRecord{known})) // by another instance just now
+				time.Sleep(700 * time.Millisecond)                                               // two reads
+				is.NoErr(store.Append(ctx, catalog.Accepts, nil, []provider.KeyedRecord{known})) // by another instance just now
 				startedAt := time.Now()
 				err = d.Submit(ctx, newJob(1))
 				is.Equal(err == nil, test.accepted)
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(ctx, intakeTimeout)
 	defer cancel()
 	number := i.outage.beginWrite()
-	err := i.d.platform.Store.Put(ctx, catalog.Accepts, nil, records)
+	err := i.d.platform.Store.Append(ctx, catalog.Accepts, nil, records)
 	i.outage.endWrite(number, !fault.Is(err, fault.MayHaveRun))
 	for _, e := range sent {
 		e.done <- err
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -94,7 +94,7 @@
 	defer cancel()
 	sent := time.Now()
 	writer := &provider.Writer{Name: writerName, Term: a.Term, Sequence: a.Sequence}
-	err := d.platform.Store.Put(ctx, catalog.Progress, writer, a.Records)
+	err := d.platform.Store.Append(ctx, catalog.Progress, writer, a.Records)
 	d.counters.recordSave(time.Since(sent), err)
 	if err == nil {
 		d.applySaved(a.Records)
@@ -165,7 +165,7 @@
 	for _, id := range a.IDs {
 		records = append(records, catalog.DropRecords(id)...)
 	}
-	err := d.platform.Store.Put(ctx, catalog.Accepts, nil, records)
+	err := d.platform.Store.Append(ctx, catalog.Accepts, nil, records)
 	return cell.Forgotten{IDs: a.IDs, Err: err}
 }
 
--- a/provider/executor.go
+++ b/provider/executor.go
@@ -22,20 +22,20 @@
 	Labels           []string        `cbor:"6,keyasint,omitempty"` // such as its kind and its rack
 	Capacity         resource.Vector `cbor:"7,keyasint"`
 	Draining         bool            `cbor:"8,keyasint,omitempty"`
-	Left             time.Duration   `cbor:"9,keyasint,omitempty"`  // minimum time until a draining worker stops
-	Cold             time.Duration   `cbor:"10,keyasint,omitempty"` // slow for this long after its start
-	Born             uint64          `cbor:"11,keyasint,omitempty"` // start of this incarnation, milliseconds since 1970; zero where the platform doesn't say
+	TimeLeft         time.Duration   `cbor:"9,keyasint,omitempty"`  // minimum time until a draining worker stops
+	ColdFor          time.Duration   `cbor:"10,keyasint,omitempty"` // slow for this long after its start
+	StartedAt        uint64          `cbor:"11,keyasint,omitempty"` // start of this incarnation, milliseconds since 1970; zero where the platform doesn't say
 }
 
 // HostList is the platform's complete list of workers, with everything that
 // was written to it before AsOf, a time on the reader's clock. Workers come,
 // announce that they leave, and stop within seconds, so a decision based on a
 // list depends on the list's age. The previous content of an entry that has
-// become unsound must not be used. A reader that finds no change returns the
+// become invalid must not be used. A reader that finds no change returns the
 // same Hosts, which must not be modified.
 type HostList struct {
 	Hosts   []Host
-	Unsound []string // IDs of workers whose entry is unusable
+	Invalid []string // IDs of workers whose entry is unusable
 	AsOf    time.Duration
 }
 
@@ -56,41 +56,41 @@
 // by an order; lease expired; another member of its gang ended; the rest of its
 // gang didn't start in time; its worker is gone.
 const (
-	EndDone    End = iota // done
-	EndFailed             // failed
-	EndStopped            // stopped
-	EndLapsed             // lapsed
-	EndBroken             // broken
-	EndAlone              // alone
-	EndLost               // lost
+	EndDone           End = iota // done
+	EndFailed                    // failed
+	EndStopped                   // stopped
+	EndLapsed                    // lapsed
+	EndGangBroken                // broken
+	EndGangIncomplete            // alone
+	EndLost                      // lost
 )
 
 // Run is a task that is running on a worker.
 type Run struct {
-	Task       string
-	Attempt    uint64
-	Checkpoint string        // the newest one
-	Percent    int           // completed part of its work; 100 for a long-running task once it is in service
-	Tail       time.Duration // tail latency of a serving task
-	Processors int64         // processors used by any other task, in thousandths of a core
+	Task        string
+	Attempt     uint64
+	Checkpoint  string        // the newest one
+	Percent     int           // completed part of its work; 100 for a long-running task once it is in service
+	TailLatency time.Duration // tail latency of a serving task
+	Processors  int64         // processors used by any other task, in thousandths of a core
 }
 
-// Ended is an ended run, which a worker lists until it is acknowledged.
-type Ended struct {
+// EndedRun is an ended run, which a worker lists until it is acknowledged.
+type EndedRun struct {
 	Number     uint64 // counts the ends of one incarnation from 1
 	Task       string
 	Attempt    uint64
-	How        End
+	End        End
 	Checkpoint string
 }
 
-// Held is a worker's answer to a HoldOrder: all running tasks, and all ended
+// HoldResult is a worker's answer to a HoldOrder: all running tasks, and all ended
 // runs that aren't acknowledged.
-type Held struct {
-	Born    uint64 // start of the incarnation that answers, as in Host
-	Clock   int64  // worker's monotonic clock, milliseconds
-	Running []Run
-	Ended   []Ended
+type HoldResult struct {
+	StartedAt uint64 // start of the incarnation that answers, as in Host
+	Clock     int64  // worker's monotonic clock, milliseconds
+	Running   []Run
+	Ended     []EndedRun
 }
 
 // HoldOrder extends the lease of all tasks running on a worker, acknowledges
@@ -98,7 +98,7 @@
 type HoldOrder struct {
 	Host     Host
 	Token    uint64 // fencing token; the worker refuses orders with a lower one than it has seen
-	Seen     uint64 // ended runs up to this number are recorded and may be forgotten
+	AckedEnd uint64 // ended runs up to this number are recorded and may be forgotten
 	Deadline int64  // lease end on the worker's clock, milliseconds; zero leaves it unchanged
 	Wait     time.Duration
 }
@@ -133,14 +133,14 @@
 // capacity; the ticket isn't valid; the worker is unhealthy and did nothing; the
 // order is malformed or names unknown work.
 const (
-	Accepted      Refusal = iota // none
-	RefusedToken                 // token
-	RefusedOld                   // old
-	RefusedLate                  // late
-	RefusedRoom                  // room
-	RefusedTicket                // ticket
-	RefusedHealth                // health
-	RefusedOther                 // other
+	Accepted        Refusal = iota // none
+	RefusedToken                   // token
+	RefusedAttempt                 // old
+	RefusedLate                    // late
+	RefusedCapacity                // room
+	RefusedTicket                  // ticket
+	RefusedHealth                  // health
+	RefusedOther                   // other
 )
 
 // Executor sends orders to workers. An error of kind fault.NotFound means that
@@ -149,7 +149,7 @@
 // fault.MayHaveRun an order may still be carried out later, even by the next
 // incarnation under the same ID.
 type Executor interface {
-	Hold(ctx context.Context, order HoldOrder) (Held, error)
+	Hold(ctx context.Context, order HoldOrder) (HoldResult, error)
 	Start(ctx context.Context, order StartOrder) (Refusal, error)
 	Stop(ctx context.Context, order RunOrder) error
 	Pace(ctx context.Context, order RunOrder) error
@@ -157,8 +157,8 @@
 
 // Ticket allows a worker to run a step.
 type Ticket struct {
-	Host   string
-	Ticket string
+	Host  string
+	Value string
 }
 
 // Adviser returns the workers that may run a step, for queues that require it.
@@ -208,8 +208,8 @@
 
 // Wave requests the upkeep of a set of machines within a time.
 type Wave struct {
-	Number   int
-	Machines []string
-	Within   time.Duration // counted from the publication of the wave
-	Most     int           // maximum number of machines in upkeep at once
+	Number         int
+	Machines       []string
+	CompleteWithin time.Duration // counted from the publication of the wave
+	MaxConcurrent  int           // maximum number of machines in upkeep at once
 }
--- a/provider/keyed.go
+++ b/provider/keyed.go
@@ -14,12 +14,12 @@
 }
 
 // KeyedPage is a run of a keyed stream's records. Next is the offset of the
-// next record to be written. In a page of newest records, After is the key
-// after which the next page starts, empty in the last page.
+// next record to be written. In a page of newest records, ResumeAfter is the
+// key after which the next page starts, empty in the last page.
 type KeyedPage struct {
-	Records []KeyedRecord
-	Next    uint64
-	After   string
+	Records     []KeyedRecord
+	Next        uint64
+	ResumeAfter string
 }
 
 // Writer identifies a write of one logical writer, for fencing: the store
@@ -44,8 +44,8 @@
 	// Read returns records starting at an offset, and waits up to wait for the
 	// first. An offset that is no longer kept gives fault.Expired.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (KeyedPage, error)
-	// Put writes all records or none. A nil writer writes without fencing.
-	Put(ctx context.Context, stream string, writer *Writer, records []KeyedRecord) error
+	// Append writes all records or none. A nil writer writes without fencing.
+	Append(ctx context.Context, stream string, writer *Writer, records []KeyedRecord) error
 	// Claim writes one record under a new term of the writer, if the stream still
 	// ends at next. It returns fault.Conflict otherwise, and fault.StaleEpoch for
 	// a term that isn't the highest.
--- a/provider/strings.go
+++ b/provider/strings.go
@@ -12,8 +12,8 @@
 	_ = x[EndFailed-1]
 	_ = x[EndStopped-2]
 	_ = x[EndLapsed-3]
-	_ = x[EndBroken-4]
-	_ = x[EndAlone-5]
+	_ = x[EndGangBroken-4]
+	_ = x[EndGangIncomplete-5]
 	_ = x[EndLost-6]
 }
 
@@ -34,9 +34,9 @@
 	var x [1]struct{}
 	_ = x[Accepted-0]
 	_ = x[RefusedToken-1]
-	_ = x[RefusedOld-2]
+	_ = x[RefusedAttempt-2]
 	_ = x[RefusedLate-3]
-	_ = x[RefusedRoom-4]
+	_ = x[RefusedCapacity-4]
 	_ = x[RefusedTicket-5]
 	_ = x[RefusedHealth-6]
 	_ = x[RefusedOther-7]
--- a/relay/agent/session.go
+++ b/relay/agent/session.go
@@ -66,7 +66,7 @@
 // is sent, as its difference from the one sent before.
 type queuedResult struct {
 	wire.Result
-	held *provider.Held
+	held *provider.HoldResult
 }
 
 func newSession(a *Agent, socket *websocket.Conn) *session {
@@ -182,11 +182,11 @@
 	var err error
 	switch o.Kind {
 	case wire.Hold:
-		var held provider.Held
+		var held provider.HoldResult
 		held, err = s.agent.executor.Hold(ctx, provider.HoldOrder{
 			Host:     host,
 			Token:    o.Token,
-			Seen:     o.Seen,
+			AckedEnd: o.Seen,
 			Deadline: o.Deadline,
 			Wait:     time.Duration(o.Wait) * time.Millisecond,
 		})
--- a/relay/link.go
+++ b/relay/link.go
@@ -197,10 +197,10 @@
 
 // do sends an order through the instance and returns its result. The answer to a hold is
 // returned decoded.
-func (l *link) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.Held) {
+func (l *link) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.HoldResult) {
 	s := l.current()
 	if s == nil {
-		return wire.Result{Outcome: wire.NotSent, Text: errDown.Error()}, provider.Held{}
+		return wire.Result{Outcome: wire.NotSent, Text: errDown.Error()}, provider.HoldResult{}
 	}
 	return s.do(ctx, h, o, spec)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -363,7 +363,7 @@
 
 // Hold implements provider.Executor. A hold is idempotent, so one without an answer
 // through the relay is sent directly if there is time left.
-func (e *Executor) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
+func (e *Executor) Hold(ctx context.Context, o provider.HoldOrder) (provider.HoldResult, error) {
 	l := e.linkOf(ctx, o.Host)
 	if l == nil {
 		e.counters.direct.Add(1)
@@ -374,20 +374,20 @@
 		Kind:     wire.Hold,
 		Token:    o.Token,
 		Deadline: o.Deadline,
-		Seen:     o.Seen,
+		Seen:     o.AckedEnd,
 		Wait:     o.Wait.Milliseconds(),
 	}, "")
 	switch r.Outcome {
 	case wire.Answered:
 		return held, nil
 	case wire.Fenced, wire.Elsewhere, wire.Refused:
-		return provider.Held{}, r.Err()
+		return provider.HoldResult{}, r.Err()
 	}
 	if !e.mayGoDirectly(ctx, o.Host) {
-		return provider.Held{}, r.Err()
+		return provider.HoldResult{}, r.Err()
 	}
 	o.Wait = 0
-	o.Seen = 0 // the worker may have restarted since, so that the number may mean another end
+	o.AckedEnd = 0 // the worker may have restarted since, so that the number may mean another end
 	return e.direct.Hold(ctx, o)
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -66,17 +66,17 @@
 	return nil
 }
 
-func (r route) Hold(ctx context.Context, o provider.HoldOrder) (provider.Held, error) {
+func (r route) Hold(ctx context.Context, o provider.HoldOrder) (provider.HoldResult, error) {
 	r.mu.Lock()
-	r.workers.lastSeen[r.name] = o.Seen
+	r.workers.lastSeen[r.name] = o.AckedEnd
 	r.mu.Unlock()
 	if err := r.handle(ctx, o.Token, "hold"); err != nil {
-		return provider.Held{}, err
+		return provider.HoldResult{}, err
 	}
 	time.Sleep(o.Wait)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return provider.Held{Clock: 7, Running: append([]provider.Run(nil), r.runs...)}, nil
+	return provider.HoldResult{Clock: 7, Running: append([]provider.Run(nil), r.runs...)}, nil
 }
 
 func (r route) Start(ctx context.Context, o provider.StartOrder) (provider.Refusal, error) {
@@ -166,7 +166,7 @@
 	t.Cleanup(s.stop)
 }
 
-func (s *site) hold(wait time.Duration) (provider.Held, error) {
+func (s *site) hold(wait time.Duration) (provider.HoldResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait+900*time.Millisecond)
 	defer cancel()
 	return s.owner.Hold(ctx, provider.HoldOrder{Host: host, Token: 3, Wait: wait})
@@ -183,11 +183,11 @@
 		is := is.New(t)
 		s := newSite(t)
 		ctx := t.Context()
-		s.runs = []provider.Run{{Task: "a", Attempt: 1, Checkpoint: "c", Percent: 4, Tail: 9 * time.Millisecond, Processors: 9}}
+		s.runs = []provider.Run{{Task: "a", Attempt: 1, Checkpoint: "c", Percent: 4, TailLatency: 9 * time.Millisecond, Processors: 9}}
 		for range 2 { // the second list is sent as its difference from the first
 			held, err := s.hold(0)
 			is.NoErr(err)
-			is.Equal(held, provider.Held{Clock: 7, Running: s.runs})
+			is.Equal(held, provider.HoldResult{Clock: 7, Running: s.runs})
 		}
 		refusal, err := s.start("t1", "spec")
 		is.NoErr(err)
@@ -484,7 +484,7 @@
 		s.setSilent("relayed", true)
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
-		_, err := s.owner.Hold(ctx, provider.HoldOrder{Host: host, Token: 3, Seen: 5})
+		_, err := s.owner.Hold(ctx, provider.HoldOrder{Host: host, Token: 3, AckedEnd: 5})
 		is.NoErr(err)
 		is.Equal(s.takeOrders(), []string{"relayed hold", "direct hold"})
 		is.Equal(s.lastSeen, map[string]uint64{"relayed": 5, "direct": 0})
--- a/relay/session.go
+++ b/relay/session.go
@@ -61,7 +61,7 @@
 
 type reply struct {
 	result wire.Result
-	held   provider.Held
+	held   provider.HoldResult
 }
 
 func newSession(e *Executor, socket *websocket.Conn) *session {
@@ -106,10 +106,10 @@
 }
 
 // do sends an order and waits for its result.
-func (s *session) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.Held) {
+func (s *session) do(ctx context.Context, h provider.Host, o wire.Order, spec string) (wire.Result, provider.HoldResult) {
 	c := &call{host: h, order: o, spec: spec, startedAt: time.Now(), done: make(chan reply, 1)}
 	if !s.enqueue(c) {
-		return wire.Result{Outcome: wire.NotSent, Text: errDown.Error()}, provider.Held{}
+		return wire.Result{Outcome: wire.NotSent, Text: errDown.Error()}, provider.HoldResult{}
 	}
 	select {
 	case r := <-c.done:
@@ -117,9 +117,9 @@
 	case <-ctx.Done():
 	}
 	if s.cancel(c) {
-		return wire.Result{Outcome: wire.Unanswered, Text: ctx.Err().Error()}, provider.Held{}
+		return wire.Result{Outcome: wire.Unanswered, Text: ctx.Err().Error()}, provider.HoldResult{}
 	}
-	return wire.Result{Outcome: wire.NotSent, Text: ctx.Err().Error()}, provider.Held{}
+	return wire.Result{Outcome: wire.NotSent, Text: ctx.Err().Error()}, provider.HoldResult{}
 }
 
 func (s *session) enqueue(c *call) bool {
--- a/relay/wire/lists.go
+++ b/relay/wire/lists.go
@@ -62,7 +62,7 @@
 
 // Encode encodes an answer as its difference from the previous one, and stores the
 // answer as the last one.
-func (l *RunLists) Encode(host uint64, held provider.Held) *Held {
+func (l *RunLists) Encode(host uint64, held provider.HoldResult) *Held {
 	type key struct {
 		task    string
 		attempt uint64
@@ -72,17 +72,17 @@
 	for i := range previous {
 		index[key{previous[i].Task, previous[i].Attempt}] = i
 	}
-	h := &Held{Born: held.Born, Clock: held.Clock}
+	h := &Held{Born: held.StartedAt, Clock: held.Clock}
 	running := make([]provider.Run, 0, len(held.Running))
 	var added []provider.Run
 	for _, r := range held.Running {
 		i, ok := index[key{r.Task, r.Attempt}]
 		if !ok {
-			h.Added = append(h.Added, Run{Task: r.Task, Attempt: r.Attempt, Checkpoint: r.Checkpoint, Percent: r.Percent, Tail: r.Tail.Milliseconds(), Processors: r.Processors})
+			h.Added = append(h.Added, Run{Task: r.Task, Attempt: r.Attempt, Checkpoint: r.Checkpoint, Percent: r.Percent, Tail: r.TailLatency.Milliseconds(), Processors: r.Processors})
 			added = append(added, r)
 			continue
 		}
-		k := Kept{Index: i, Percent: r.Percent, Tail: r.Tail.Milliseconds(), Processors: r.Processors}
+		k := Kept{Index: i, Percent: r.Percent, Tail: r.TailLatency.Milliseconds(), Processors: r.Processors}
 		if r.Checkpoint != previous[i].Checkpoint {
 			k.Checkpoint = r.Checkpoint
 		}
@@ -91,7 +91,7 @@
 	}
 	l.last[host] = append(running, added...)
 	for _, e := range held.Ended {
-		h.Ended = append(h.Ended, Ended{Number: e.Number, Task: e.Task, Attempt: e.Attempt, How: e.How, Checkpoint: e.Checkpoint})
+		h.Ended = append(h.Ended, Ended{Number: e.Number, Task: e.Task, Attempt: e.Attempt, How: e.End, Checkpoint: e.Checkpoint})
 	}
 	return h
 }
@@ -99,16 +99,16 @@
 // Decode decodes an answer from its difference, and stores the answer as the last one.
 // An error means that the lists of the two ends don't agree, and the connection must be
 // closed.
-func (l *RunLists) Decode(host uint64, h *Held) (provider.Held, error) {
+func (l *RunLists) Decode(host uint64, h *Held) (provider.HoldResult, error) {
 	previous := l.last[host]
-	held := provider.Held{Born: h.Born, Clock: h.Clock}
+	held := provider.HoldResult{StartedAt: h.Born, Clock: h.Clock}
 	for _, k := range h.Kept {
 		if k.Index < 0 || k.Index >= len(previous) {
 			return held, fault.New(fault.Invalid, "run %d of %d", k.Index, len(previous))
 		}
 		r := previous[k.Index]
 		r.Percent = k.Percent
-		r.Tail = time.Duration(k.Tail) * time.Millisecond
+		r.TailLatency = time.Duration(k.Tail) * time.Millisecond
 		r.Processors = k.Processors
 		if k.Checkpoint != "" {
 			r.Checkpoint = k.Checkpoint
@@ -117,16 +117,16 @@
 	}
 	for _, f := range h.Added {
 		held.Running = append(held.Running, provider.Run{
-			Task:       f.Task,
-			Attempt:    f.Attempt,
-			Checkpoint: f.Checkpoint,
-			Percent:    f.Percent,
-			Tail:       time.Duration(f.Tail) * time.Millisecond,
-			Processors: f.Processors,
+			Task:        f.Task,
+			Attempt:     f.Attempt,
+			Checkpoint:  f.Checkpoint,
+			Percent:     f.Percent,
+			TailLatency: time.Duration(f.Tail) * time.Millisecond,
+			Processors:  f.Processors,
 		})
 	}
 	for _, e := range h.Ended {
-		held.Ended = append(held.Ended, provider.Ended{Number: e.Number, Task: e.Task, Attempt: e.Attempt, How: e.How, Checkpoint: e.Checkpoint})
+		held.Ended = append(held.Ended, provider.EndedRun{Number: e.Number, Task: e.Task, Attempt: e.Attempt, End: e.How, Checkpoint: e.Checkpoint})
 	}
 	l.last[host] = held.Running
 	return held, nil
--- a/relay/wire/lists_test.go
+++ b/relay/wire/lists_test.go
@@ -37,29 +37,29 @@
 	})
 }
 
-func drawHeld(t *rapid.T) provider.Held {
-	held := provider.Held{
-		Born:  rapid.Uint64Range(0, 1<<41).Draw(t, "born"),
-		Clock: rapid.Int64Range(0, 1<<40).Draw(t, "clock"),
+func drawHeld(t *rapid.T) provider.HoldResult {
+	held := provider.HoldResult{
+		StartedAt: rapid.Uint64Range(0, 1<<41).Draw(t, "born"),
+		Clock:     rapid.Int64Range(0, 1<<40).Draw(t, "clock"),
 	}
 	for _, task := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 0, 5, rapid.ID).Draw(t, "tasks") {
 		held.Running = append(held.Running, provider.Run{
-			Task:       task,
-			Attempt:    rapid.Uint64Range(1, 2).Draw(t, "attempt"),
-			Checkpoint: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "checkpoint"),
-			Percent:    rapid.IntRange(0, 100).Draw(t, "percent"),
-			Tail:       time.Duration(rapid.Int64Range(0, 90).Draw(t, "tail")) * time.Millisecond,
-			Processors: rapid.Int64Range(0, 64000).Draw(t, "processors"),
+			Task:        task,
+			Attempt:     rapid.Uint64Range(1, 2).Draw(t, "attempt"),
+			Checkpoint:  rapid.SampledFrom([]string{"x", "y"}).Draw(t, "checkpoint"),
+			Percent:     rapid.IntRange(0, 100).Draw(t, "percent"),
+			TailLatency: time.Duration(rapid.Int64Range(0, 90).Draw(t, "tail")) * time.Millisecond,
+			Processors:  rapid.Int64Range(0, 64000).Draw(t, "processors"),
 		})
 	}
 	for n := range rapid.IntRange(0, 3).Draw(t, "ends") {
-		held.Ended = append(held.Ended, provider.Ended{Number: uint64(n), Task: "z", Attempt: 4, How: provider.EndFailed, Checkpoint: "q"})
+		held.Ended = append(held.Ended, provider.EndedRun{Number: uint64(n), Task: "z", Attempt: 4, End: provider.EndFailed, Checkpoint: "q"})
 	}
 	return held
 }
 
 // checkEqual compares answers; the order of runs may differ.
-func checkEqual(t *rapid.T, got, want provider.Held) {
+func checkEqual(t *rapid.T, got, want provider.HoldResult) {
 	runs := make(map[provider.Run]int)
 	for _, r := range want.Running {
 		runs[r]++
--- a/tail/tail.go
+++ b/tail/tail.go
@@ -43,9 +43,9 @@
 // Batch is the result of a successful read. It has no records if none were written.
 type Batch struct {
 	Records []provider.KeyedRecord
-	// Whole means that Records holds the newest record of every key, so that keys not
+	// IsComplete means that Records holds the newest record of every key, so that keys not
 	// among them have been deleted.
-	Whole bool
+	IsComplete bool
 	// AsOf is a time on the reader's clock. With this batch, all records written before
 	// that time have been applied.
 	AsOf time.Duration
@@ -329,8 +329,8 @@
 			l.next = page.Next
 		}
 		l.records = append(l.records, page.Records...)
-		l.after = page.After
-		if page.After == "" {
+		l.after = page.ResumeAfter
+		if page.ResumeAfter == "" {
 			break
 		}
 	}
@@ -357,7 +357,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = l.startedAt // records written since then may be missing in the first page
-	t.apply(Batch{Records: l.records, Whole: true, AsOf: t.asOf})
+	t.apply(Batch{Records: l.records, IsComplete: true, AsOf: t.asOf})
 	t.next = max(t.next, l.next)
 	t.streamEnd.Store(l.next)
 	t.lastAnswer.Store(int64(t.clock()))
--- a/tail/tail_test.go
+++ b/tail/tail_test.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		if len(page.Records) == pageRecords {
-			page.After = page.Records[pageRecords-1].Key
+			page.ResumeAfter = page.Records[pageRecords-1].Key
 			break
 		}
 		page.Records = append(page.Records, r)
@@ -125,7 +125,7 @@
 		go func() { _ = reader.Run(ctx) }()
 
 		loaded := <-batches // after three pages
-		is.True(loaded.Whole)
+		is.True(loaded.IsComplete)
 		is.Equal(len(loaded.Records), 3*pageRecords)
 		is.Equal(loaded.AsOf, time.Duration(0))
 
