--- a/cell/action.go
+++ b/cell/action.go
@@ -5,7 +5,7 @@
 )
 
 // Action is something that the caller of Step has to carry out. Its outcome comes back as
-// an input, for example HoldReply for Hold. Note, Deposed and ReportWave have no outcome.
+// an input, for example HoldReply for Hold. LogEvent, Deposed and ReportWave have no outcome.
 type Action interface{ action() }
 
 // Hold asks a worker for its runs, their progress and their ends, and renews its lease.
@@ -67,8 +67,8 @@
 	Reason string
 }
 
-// Note is a log line about a decision.
-type Note struct {
+// LogEvent is a log line about a decision.
+type LogEvent struct {
 	Event  string
 	Fields []any // alternating keys and values
 }
@@ -84,4 +84,4 @@
 func (ReportWave) action()   {}
 func (Forget) action()       {}
 func (ListMachines) action() {}
-func (Note) action()         {}
+func (LogEvent) action()     {}
--- a/cell/advice.go
+++ b/cell/advice.go
@@ -85,8 +85,8 @@
 	return hosts
 }
 
-// handleAdvised stores the tickets that the adviser granted.
-func (c *Cell) handleAdvised(in Advised) {
+// handleAdviseReply stores the tickets that the adviser granted.
+func (c *Cell) handleAdviseReply(in AdviseReply) {
 	c.adviceInFlight = false
 	c.needsDispatch = true
 	if in.Err != nil {
--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -50,9 +50,9 @@
 			take := func() {
 				now += 300 * time.Millisecond
 				list.AsOf = now
-				for _, a := range c.Step(now, cell.Hosts{List: list}) {
+				for _, a := range c.Step(now, cell.WorkerList{List: list}) {
 					if save, ok := a.(cell.Save); ok {
-						c.Step(now, cell.Saved{Sequence: save.Sequence})
+						c.Step(now, cell.SaveReply{Sequence: save.Sequence})
 					}
 				}
 			}
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -145,7 +145,7 @@
 	for _, h := range inOrder(recorded.Hosts()) {
 		w := c.addWorker(h)
 		w.registered = true
-		w.born = h.StartedAt
+		w.startedAt = h.StartedAt
 		c.survey.add(w)
 	}
 	c.survey.restoreCrashed(self.Term, recorded.Crashed())
@@ -162,12 +162,12 @@
 	c.detectFreeze(now)
 	c.now = max(c.now, now)
 	switch in := in.(type) {
-	case Arrived:
-		c.handleArrived(in.Entry)
-	case Hosts:
-		c.handleHosts(in.List)
-	case Configured:
-		c.handleConfigured(in.Table)
+	case JobChanged:
+		c.handleJobChanged(in.Entry)
+	case WorkerList:
+		c.handleWorkerList(in.List)
+	case ConfigChanged:
+		c.handleConfigChanged(in.Table)
 	case HoldReply:
 		c.handleHoldReply(in)
 	case StartReply:
@@ -176,20 +176,20 @@
 		c.handleStopReply(in)
 	case PaceReply:
 		c.handlePaceReply(in)
-	case Waves:
-		c.handleWaves(in.Waves)
-	case Cordoned:
-		c.handleCordoned(in.AvailabilityZones)
-	case Advised:
-		c.handleAdvised(in)
+	case WavesRequested:
+		c.handleWavesRequested(in.Waves)
+	case ZonesCordoned:
+		c.handleZonesCordoned(in.AvailabilityZones)
+	case AdviseReply:
+		c.handleAdviseReply(in)
 	case UpkeepReply:
 		c.handleUpkeepReply(in)
-	case Forgotten:
-		c.handleForgotten(in)
-	case MachineList:
-		c.handleMachineList(in)
-	case Saved:
-		c.handleSaved(in)
+	case ForgetReply:
+		c.handleForgetReply(in)
+	case ListMachinesReply:
+		c.handleListMachinesReply(in)
+	case SaveReply:
+		c.handleSaveReply(in)
 	case Tick:
 		c.handleTick(in)
 	}
@@ -233,7 +233,7 @@
 }
 
 func (c *Cell) logEvent(event string, fields ...any) {
-	c.emit(Note{Event: event, Fields: fields})
+	c.emit(LogEvent{Event: event, Fields: fields})
 }
 
 func (c *Cell) depose(reason string) {
@@ -241,7 +241,7 @@
 	c.emit(Deposed{Reason: reason})
 }
 
-func (c *Cell) handleConfigured(t *queue.Table) {
+func (c *Cell) handleConfigChanged(t *queue.Table) {
 	c.queues = t
 	for _, j := range c.jobs {
 		j.terms = c.termsOf(j.job)
--- a/cell/cordon.go
+++ b/cell/cordon.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// handleCordoned replaces the set of cordoned availability zones. Runs in a cordoned zone
+// handleZonesCordoned replaces the set of cordoned availability zones. Runs in a cordoned zone
 // go on: a cordon doesn't mean that the zone is about to fail.
-func (c *Cell) handleCordoned(zones []string) {
+func (c *Cell) handleZonesCordoned(zones []string) {
 	cordoned := make(map[string]bool, len(zones))
 	for _, zone := range zones {
 		cordoned[zone] = true
--- a/cell/correlate.go
+++ b/cell/correlate.go
@@ -143,7 +143,7 @@
 
 // recordMachinesDown records workers that the list of machines reports as down before a
 // hold to them has failed: they may have gone down together with those already missed.
-func (c *Cell) recordMachinesDown(in MachineList, byMachine map[string]*provider.Machine) {
+func (c *Cell) recordMachinesDown(in ListMachinesReply, byMachine map[string]*provider.Machine) {
 	for _, w := range c.everyWorker() {
 		m := byMachine[w.host.Machine]
 		if w.missedHolds == 0 && w.lastContact < in.Sent && m != nil && downReason(w, m) != "" {
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -291,6 +291,6 @@
 			started = append(started, name)
 		}
 	}
-	c.logEvent("worker lost", "worker", w.host.ID, "born", w.born, "reason", reason, "runs", len(w.runs),
+	c.logEvent("worker lost", "worker", w.host.ID, "born", w.startedAt, "reason", reason, "runs", len(w.runs),
 		"silent", c.now-w.lastContact, "just_started", strings.Join(started, ","), "others", f.simultaneous, "correlated", f.correlated)
 }
--- a/cell/forget.go
+++ b/cell/forget.go
@@ -45,8 +45,8 @@
 	return false
 }
 
-// handleForgotten deletes the progress of jobs whose acceptance records are gone.
-func (c *Cell) handleForgotten(in Forgotten) {
+// handleForgetReply deletes the progress of jobs whose acceptance records are gone.
+func (c *Cell) handleForgetReply(in ForgetReply) {
 	c.forgetInFlight = false
 	c.logEvent("jobs forgotten", "jobs", len(in.IDs), "err", in.Err)
 	if in.Err != nil {
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -251,11 +251,11 @@
 	o.acceptsRead = len(s.store.accepts)
 	o.generation++
 	o.queuedInputs = nil
-	o.step(cell.Configured{Table: s.table})
+	o.step(cell.ConfigChanged{Table: s.table})
 	o.cordoned = s.cordoned
-	o.step(cell.Cordoned{AvailabilityZones: o.cordoned})
-	o.step(cell.Hosts{List: o.list})
-	o.step(cell.Waves{Waves: s.wantedWaves})
+	o.step(cell.ZonesCordoned{AvailabilityZones: o.cordoned})
+	o.step(cell.WorkerList{List: o.list})
+	o.step(cell.WavesRequested{Waves: s.wantedWaves})
 	o.tick(o.generation)
 	return nil
 }
@@ -305,14 +305,14 @@
 		}
 		for _, e := range known.TakeChanged() {
 			if strings.HasSuffix(s.store.accepts[o.acceptsRead].Key, e.Job.ID) {
-				o.step(cell.Arrived{Entry: e})
+				o.step(cell.JobChanged{Entry: e})
 				break
 			}
 		}
 	}
 	if !slices.Equal(o.cordoned, s.cordoned) {
 		o.cordoned = s.cordoned
-		o.step(cell.Cordoned{AvailabilityZones: o.cordoned})
+		o.step(cell.ZonesCordoned{AvailabilityZones: o.cordoned})
 	}
 	o.readList()
 }
@@ -342,7 +342,7 @@
 		list.Hosts = o.list.Hosts
 	}
 	o.list = list
-	o.step(cell.Hosts{List: list})
+	o.step(cell.WorkerList{List: list})
 }
 
 func (o *owner) step(in cell.Input) {
@@ -426,7 +426,7 @@
 			list := s.machineList()
 			s.after(hopDelay+s.machineListDelay, func() { o.step(list) })
 		})
-	case cell.Note:
+	case cell.LogEvent:
 		if o.onLog != nil {
 			o.onLog(a.Event)
 		}
@@ -446,7 +446,7 @@
 		for _, id := range a.IDs {
 			s.store.accepts = append(s.store.accepts, catalog.DropRecords(id)...)
 		}
-		o.step(cell.Forgotten{IDs: a.IDs})
+		o.step(cell.ForgetReply{IDs: a.IDs})
 	})
 }
 
@@ -461,8 +461,8 @@
 	return n
 }
 
-func (s *site) machineList() cell.MachineList {
-	list := cell.MachineList{Sent: s.now - hopDelay}
+func (s *site) machineList() cell.ListMachinesReply {
+	list := cell.ListMachinesReply{Sent: s.now - hopDelay}
 	if s.noMachineList {
 		list.Err = fault.New(fault.Unavailable, "the site has no list of machines")
 		return list
@@ -482,7 +482,7 @@
 	generation := o.generation
 	reply := func(err error) {
 		if o.generation == generation {
-			o.step(cell.Saved{Sequence: a.Sequence, Err: err})
+			o.step(cell.SaveReply{Sequence: a.Sequence, Err: err})
 		}
 	}
 	if o.noStore {
--- a/cell/hold.go
+++ b/cell/hold.go
@@ -101,7 +101,7 @@
 	w.clock = in.Held.Clock
 	w.clockReadAt = c.now
 	w.answered = true
-	w.born = cmp.Or(in.Held.StartedAt, w.born)
+	w.startedAt = cmp.Or(in.Held.StartedAt, w.startedAt)
 }
 
 // scheduleHold sends the next hold, or delays it while ends that the worker lists aren't
--- a/cell/hostlist.go
+++ b/cell/hostlist.go
@@ -37,15 +37,15 @@
 }
 
 // checkListFresh reports whether the list of workers is fresh enough to start tasks by,
-// and logs when that changes. The list may be up to Timing.ListAge older than the last
+// and logs when that changes. The list may be up to Timing.MaxListAge older than the last
 // evidence that the store can be reached. While the store doesn't answer this owner, no
 // newer list can be had, and starts continue with the last one until it is as old as
-// Timing.RoomAge: by then a worker's capacity may have shrunk, and starts by the old
+// Timing.MaxCapacityAge: by then a worker's capacity may have shrunk, and starts by the old
 // capacity would overcommit it. Running tasks go on.
 func (c *Cell) checkListFresh() bool {
 	l := &c.hosts
 	lastReached := max(l.resumedAt, c.writer.lastContact)
-	fresh := l.received && lastReached-l.latest.AsOf < c.timing.ListAge && c.now-l.latest.AsOf < c.timing.RoomAge
+	fresh := l.received && lastReached-l.latest.AsOf < c.timing.MaxListAge && c.now-l.latest.AsOf < c.timing.MaxCapacityAge
 	if l.stale == fresh {
 		l.stale = !fresh
 		event := "starts wait for the list"
@@ -57,12 +57,12 @@
 	return fresh
 }
 
-// handleHosts applies the platform's list of workers. A worker that has disappeared from
+// handleWorkerList applies the platform's list of workers. A worker that has disappeared from
 // it gets no new tasks, but keeps its runs: workers that merely can't reach the store
 // disappear as well. A list from well before this owner's term is ignored: a worker that
 // is on it, but on no later one, would wrongly count as just having disappeared.
-func (c *Cell) handleHosts(list provider.HostList) {
-	if c.ownedSince-list.AsOf >= c.timing.ListAge {
+func (c *Cell) handleWorkerList(list provider.HostList) {
+	if c.ownedSince-list.AsOf >= c.timing.MaxListAge {
 		return
 	}
 	c.needsDispatch = true
@@ -118,7 +118,7 @@
 		c.logEvent("worker resized", "worker", h.ID, "from", w.host.Capacity.String(), "to", h.Capacity.String(), "used", w.used.String())
 		c.markChanged(w)
 	}
-	if w.born != 0 && h.StartedAt != 0 && h.StartedAt != w.born && h.StartedAt != w.host.StartedAt {
+	if w.startedAt != 0 && h.StartedAt != 0 && h.StartedAt != w.startedAt && h.StartedAt != w.host.StartedAt {
 		c.suspectRestart(w)
 	}
 	if h.Service != w.host.Service {
@@ -137,14 +137,14 @@
 // incarnation that answers. Another incarnation may have another capacity and other
 // labels.
 func (w *worker) hasCurrentEntry() bool {
-	return w.born == 0 || w.host.StartedAt == 0 || w.host.StartedAt == w.born
+	return w.startedAt == 0 || w.host.StartedAt == 0 || w.host.StartedAt == w.startedAt
 }
 
 // addListedSuccessor adds the worker that is listed under the ID of a lost one if it is
 // another incarnation. The list may have shown it before the loss was noticed.
 func (c *Cell) addListedSuccessor(lost *worker) {
 	for _, h := range c.hosts.latest.Hosts {
-		if h.ID == lost.host.ID && lost.born != 0 && h.StartedAt != 0 && h.StartedAt != lost.born {
+		if h.ID == lost.host.ID && lost.startedAt != 0 && h.StartedAt != 0 && h.StartedAt != lost.startedAt {
 			c.updateHost(h)
 		}
 	}
--- a/cell/hostlist_test.go
+++ b/cell/hostlist_test.go
@@ -80,7 +80,7 @@
 	s.after(2*time.Second, func() { s.workers[0].crash(300*time.Millisecond, 1) })
 	s.after(2400*time.Millisecond, func() { submitJobs(s, 4) })
 	// The list as it was before the worker came back; the answer takes 1.2 s.
-	var stale cell.MachineList
+	var stale cell.ListMachinesReply
 	s.after(2250*time.Millisecond, func() { stale = s.machineList() })
 	s.after(2700*time.Millisecond, func() {
 		is.True(len(s.workers[0].runs) > 0) // the new incarnation has tasks
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -13,17 +13,17 @@
 // incarnation returns the name of the worker's incarnation on record, which distinguishes
 // it from others with the same ID.
 func (w *worker) incarnation() string {
-	if w.born == 0 {
+	if w.startedAt == 0 {
 		return w.host.ID
 	}
-	return w.host.ID + "@" + strconv.FormatUint(w.born, 10)
+	return w.host.ID + "@" + strconv.FormatUint(w.startedAt, 10)
 }
 
 // isReplacedBy reports whether an answer comes from another incarnation than the one that
 // answered before, or that is on record.
 func (w *worker) isReplacedBy(held *provider.HoldResult) bool {
-	if w.born != 0 && held.StartedAt != 0 {
-		return w.born != held.StartedAt
+	if w.startedAt != 0 && held.StartedAt != 0 {
+		return w.startedAt != held.StartedAt
 	}
 	return w.answered && held.Clock < w.clock
 }
@@ -31,7 +31,7 @@
 // handleRestart replaces a worker by its next incarnation, which shares nothing with it
 // but the ID.
 func (c *Cell) handleRestart(w *worker, held *provider.HoldResult) {
-	c.logEvent("worker restarted", "worker", w.host.ID, "born", held.StartedAt, "before", w.born, "runs", len(w.runs))
+	c.logEvent("worker restarted", "worker", w.host.ID, "born", held.StartedAt, "before", w.startedAt, "runs", len(w.runs))
 	c.endIncarnation(w, "restarted")
 	next := c.workers[w.host.ID]
 	if next == nil {
@@ -102,7 +102,7 @@
 // mayStillStart reports whether the next incarnation of the run's worker may still carry
 // out the start.
 func (c *Cell) mayStillStart(r *run) bool {
-	return r.worker.born != 0 && r.task != nil && r.startedClock == 0 && c.now < r.orderedAt+maxOrderDelay
+	return r.worker.startedAt != 0 && r.task != nil && r.startedClock == 0 && c.now < r.orderedAt+maxOrderDelay
 }
 
 // deferStart keeps a start that may still be carried out although its worker is lost. Its
--- a/cell/input.go
+++ b/cell/input.go
@@ -11,18 +11,18 @@
 // Input is an event that a cell reacts to.
 type Input interface{ input() }
 
-// Arrived announces a job that was accepted or cancelled.
-type Arrived struct {
+// JobChanged announces a job that was accepted or cancelled.
+type JobChanged struct {
 	Entry catalog.Entry
 }
 
-// Hosts carries the platform's list of workers. List.AsOf is on the clock of Step.
-type Hosts struct {
+// WorkerList carries the platform's list of workers. List.AsOf is on the clock of Step.
+type WorkerList struct {
 	List provider.HostList
 }
 
-// Configured carries a new configuration of the queues.
-type Configured struct {
+// ConfigChanged carries a new configuration of the queues.
+type ConfigChanged struct {
 	Table *queue.Table
 }
 
@@ -65,25 +65,25 @@
 	Err     error
 }
 
-// Saved is the outcome of a Save.
-type Saved struct {
+// SaveReply is the outcome of a Save.
+type SaveReply struct {
 	Sequence uint64
 	Err      error
 }
 
-// Waves carries the maintenance waves that the operators requested.
-type Waves struct {
+// WavesRequested carries the maintenance waves that the operators requested.
+type WavesRequested struct {
 	Waves []provider.Wave
 }
 
-// Cordoned carries the complete set of cordoned availability zones, whose workers get no
+// ZonesCordoned carries the complete set of cordoned availability zones, whose workers get no
 // new tasks.
-type Cordoned struct {
+type ZonesCordoned struct {
 	AvailabilityZones []string
 }
 
-// Advised is the outcome of an Advise.
-type Advised struct {
+// AdviseReply is the outcome of an Advise.
+type AdviseReply struct {
 	Job         string
 	Round, Step int
 	Hosts       []string
@@ -100,14 +100,14 @@
 	Err     error
 }
 
-// Forgotten is the outcome of a Forget.
-type Forgotten struct {
+// ForgetReply is the outcome of a Forget.
+type ForgetReply struct {
 	IDs []string
 	Err error
 }
 
-// MachineList is the outcome of a ListMachines.
-type MachineList struct {
+// ListMachinesReply is the outcome of a ListMachines.
+type ListMachinesReply struct {
 	Machines []provider.Machine
 	Sent     time.Duration // when the request was sent
 	Err      error
@@ -118,18 +118,18 @@
 	Wall time.Time
 }
 
-func (Arrived) input()     {}
-func (Hosts) input()       {}
-func (Configured) input()  {}
-func (HoldReply) input()   {}
-func (StartReply) input()  {}
-func (StopReply) input()   {}
-func (PaceReply) input()   {}
-func (Saved) input()       {}
-func (Waves) input()       {}
-func (Cordoned) input()    {}
-func (Advised) input()     {}
-func (UpkeepReply) input() {}
-func (Forgotten) input()   {}
-func (MachineList) input() {}
-func (Tick) input()        {}
+func (JobChanged) input()        {}
+func (WorkerList) input()        {}
+func (ConfigChanged) input()     {}
+func (HoldReply) input()         {}
+func (StartReply) input()        {}
+func (StopReply) input()         {}
+func (PaceReply) input()         {}
+func (SaveReply) input()         {}
+func (WavesRequested) input()    {}
+func (ZonesCordoned) input()     {}
+func (AdviseReply) input()       {}
+func (UpkeepReply) input()       {}
+func (ForgetReply) input()       {}
+func (ListMachinesReply) input() {}
+func (Tick) input()              {}
--- a/cell/job.go
+++ b/cell/job.go
@@ -82,7 +82,7 @@
 	return j.progress.State.Final()
 }
 
-func (c *Cell) handleArrived(e catalog.Entry) {
+func (c *Cell) handleJobChanged(e catalog.Entry) {
 	j := c.jobs[e.Job.ID]
 	if j == nil {
 		e.Progress = progress.New(e.Job)
--- a/cell/machines.go
+++ b/cell/machines.go
@@ -46,10 +46,10 @@
 	return pending || len(w.runs) > 0
 }
 
-// handleMachineList applies the platform's list of machines. The list is ignored for a
+// handleListMachinesReply applies the platform's list of machines. The list is ignored for a
 // worker that answered after the request was sent: it may describe the previous
 // incarnation, and losing the worker for that would start its tasks again while they run.
-func (c *Cell) handleMachineList(in MachineList) {
+func (c *Cell) handleListMachinesReply(in ListMachinesReply) {
 	c.machineListInFlight = false
 	if in.Err != nil {
 		c.logEvent("machines not listed", "err", in.Err)
--- a/cell/restart_test.go
+++ b/cell/restart_test.go
@@ -201,7 +201,7 @@
 		list.AsOf = s.now
 		list.Hosts = slices.Clone(first.Hosts)
 		list.Hosts[0].StartedAt = 1 + born
-		s.owners[0].step(cell.Hosts{List: list})
+		s.owners[0].step(cell.WorkerList{List: list})
 	}
 	is.True(s.owners[0].cell == nil)
 	s.owners[1].takeOver()
--- a/cell/run.go
+++ b/cell/run.go
@@ -261,7 +261,7 @@
 		return false
 	}
 	if r.state == runStopping {
-		return c.now-r.stopSentAt > c.timing.StopRetry && c.canOrder()
+		return c.now-r.stopSentAt > c.timing.StopRetryInterval && c.canOrder()
 	}
 	if r.task == nil || r.state != runRunning || r.task.step.spec.Gang {
 		return false
--- a/cell/save.go
+++ b/cell/save.go
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// handleSaved handles the outcome of a write.
-func (c *Cell) handleSaved(in Saved) {
+// handleSaveReply handles the outcome of a write.
+func (c *Cell) handleSaveReply(in SaveReply) {
 	s := &c.writer
 	b := s.batch
 	if b == nil || b.save.Sequence != in.Sequence {
@@ -315,12 +315,12 @@
 	}
 }
 
-// Leave gives the cell up in an orderly way: the next write announces it.
-func (c *Cell) Leave() {
+// BeginLeave gives the cell up in an orderly way: the next write announces it.
+func (c *Cell) BeginLeave() {
 	c.writer.leaving = true
 }
 
-// Left reports whether the write that announces the leave has succeeded.
-func (c *Cell) Left() bool {
+// HasLeft reports whether the write that announces the leave has succeeded.
+func (c *Cell) HasLeft() bool {
 	return c.writer.leaveRecorded
 }
--- a/cell/services_test.go
+++ b/cell/services_test.go
@@ -25,7 +25,7 @@
 	}
 	s.after(adviceTime, func() {
 		o.adviceInFlight--
-		reply := cell.Advised{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Valid: ticketTime, Sent: sent}
+		reply := cell.AdviseReply{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Valid: ticketTime, Sent: sent}
 		for _, h := range a.Hosts {
 			if s.isAllowed(h) {
 				ticket := fmt.Sprintf("%s/%d/%v", h, s.bornOf(h), s.now)
--- a/cell/timing.go
+++ b/cell/timing.go
@@ -38,8 +38,8 @@
 	MinSaveInterval time.Duration
 	// SaveRetryInterval is the pause before a failed write is retried.
 	SaveRetryInterval time.Duration
-	// StopRetry is the pause before a stop without effect is repeated.
-	StopRetry time.Duration
+	// StopRetryInterval is the pause before a stop without effect is repeated.
+	StopRetryInterval time.Duration
 	// HandoverDelay is how long a new owner gives no orders to machines, which don't check
 	// whether an order comes from the latest owner.
 	HandoverDelay time.Duration
@@ -50,16 +50,16 @@
 	// from the list. Entries that expired in an outage of the store are back within two
 	// seconds.
 	UnlistedGrace time.Duration
-	// ListAge is how old the list of workers may be when a task is started, relative to
+	// MaxListAge is how old the list of workers may be when a task is started, relative to
 	// the last evidence that the store can be reached. It is less than the notice that
 	// workers give before they leave; the difference covers the time between two writes of
 	// the owner, which show that the store can be reached, and the delivery of an order.
-	ListAge time.Duration
-	// RoomAge is the maximum age of the list in any case. A list may announce that a
+	MaxListAge time.Duration
+	// MaxCapacityAge is the maximum age of the list in any case. A list may announce that a
 	// worker's capacity shrinks, and a worker that doesn't enforce its capacity accepts
-	// excess starts. RoomAge is less than the time within which the change has to be known
+	// excess starts. MaxCapacityAge is less than the time within which the change has to be known
 	// everywhere; the difference covers the delivery of an order.
-	RoomAge time.Duration
+	MaxCapacityAge time.Duration
 	// StallTimeout is how long a running task may show no progress before it counts as hanging.
 	StallTimeout time.Duration
 	// Quarantine is how long a worker on which tasks fail or hang gets no tasks.
@@ -89,12 +89,12 @@
 		HeartbeatInterval: 500 * time.Millisecond,
 		MinSaveInterval:   15 * time.Millisecond,
 		SaveRetryInterval: 100 * time.Millisecond,
-		StopRetry:         600 * time.Millisecond,
+		StopRetryInterval: 600 * time.Millisecond,
 		HandoverDelay:     3500 * time.Millisecond,
 		MaxSilence:        300 * time.Millisecond,
 		UnlistedGrace:     3 * time.Second,
-		ListAge:           1400 * time.Millisecond,
-		RoomAge:           2300 * time.Millisecond,
+		MaxListAge:        1400 * time.Millisecond,
+		MaxCapacityAge:    2300 * time.Millisecond,
 		StallTimeout:      2500 * time.Millisecond,
 		Quarantine:        2 * time.Second,
 		PaceDelay:         100 * time.Millisecond,
--- a/cell/wave.go
+++ b/cell/wave.go
@@ -32,8 +32,8 @@
 	orderInFlight bool
 }
 
-// handleWaves adds the waves that the operators requested.
-func (c *Cell) handleWaves(waves []provider.Wave) {
+// handleWavesRequested adds the waves that the operators requested.
+func (c *Cell) handleWavesRequested(waves []provider.Wave) {
 	for _, spec := range waves {
 		w := c.waves[spec.Number]
 		if w == nil {
--- a/cell/wave_test.go
+++ b/cell/wave_test.go
@@ -27,7 +27,7 @@
 	s.after(1195*time.Millisecond, func() { s.workers[0].host.Address = "10.0.1.0:1" }) // so that the first incarnation doesn't answer
 	s.after(4200*time.Millisecond, func() { s.submit(lasting) })
 	s.after(6*time.Second, func() {
-		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
+		s.owners[0].step(cell.WavesRequested{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
 	})
 	runsAtUpkeep := 0
 	s.onUpkeep = func(w *fakeWorker) { runsAtUpkeep = len(w.runs) }
@@ -117,7 +117,7 @@
 	s.after(5700*time.Millisecond, func() { s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(12, 2)}}) })
 	s.owners[0].takeOver()
 	s.after(6*time.Second, func() {
-		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
+		s.owners[0].step(cell.WavesRequested{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, MaxConcurrent: 1}}})
 	})
 	s.after(6100*time.Millisecond, func() {
 		is.True(len(s.workers[0].runs) > 0) // it is being drained
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -19,7 +19,7 @@
 	registered  bool          // on record, so that a successor asks it for its runs
 	leaving     bool          // its machine is about to go down; it gets no new tasks
 	answered    bool          // it has answered this owner, so its runs are known
-	born        uint64        // start of the incarnation that answers, zero if it isn't known
+	startedAt   uint64        // start of the incarnation that answers, zero if it isn't known
 	lost        bool          // the incarnation is gone
 	token       uint64        // fencing token of orders to it; see nextToken
 	knownSince  time.Duration
@@ -181,7 +181,7 @@
 		return nil
 	}
 	h := w.host
-	h.StartedAt = w.born
+	h.StartedAt = w.startedAt
 	return &h
 }
 
--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -48,10 +48,10 @@
 			d.handleClaim(c)
 		case waves := <-d.waveUpdates:
 			d.waves = waves
-			d.step(cell.Waves{Waves: waves})
+			d.step(cell.WavesRequested{Waves: waves})
 		case zones := <-d.cordonUpdates:
 			d.cordonedZones = zones
-			d.step(cell.Cordoned{AvailabilityZones: zones})
+			d.step(cell.ZonesCordoned{AvailabilityZones: zones})
 		case list := <-d.hostListUpdates:
 			d.handleHostList(list)
 		case <-leave:
@@ -64,7 +64,7 @@
 func (d *Dispatcher) tick() {
 	if d.cell != nil {
 		d.step(cell.Tick{Wall: time.Now()})
-		if d.cell != nil && d.cell.Left() {
+		if d.cell != nil && d.cell.HasLeft() {
 			d.relinquish("left")
 		}
 		return
@@ -106,11 +106,11 @@
 func (d *Dispatcher) applyUpdates() {
 	if t := d.table.Load(); t != d.appliedTable {
 		d.appliedTable = t
-		d.step(cell.Configured{Table: t})
+		d.step(cell.ConfigChanged{Table: t})
 	}
 	if d.cell != nil {
 		for _, e := range d.catalog.TakeChanged() {
-			d.step(cell.Arrived{Entry: e})
+			d.step(cell.JobChanged{Entry: e})
 		}
 		return
 	}
@@ -237,14 +237,14 @@
 	d.setOwning(true, ownerSpacing)
 	d.counters.owned.Add(1)
 	d.logger.Info("owner", zap.Uint64("term", term), zap.Int("jobs", d.catalog.Len()), zap.Int("workers", len(d.catalog.Hosts())))
-	d.step(cell.Configured{Table: d.table.Load()})
+	d.step(cell.ConfigChanged{Table: d.table.Load()})
 	if len(d.cordonedZones) > 0 {
-		d.step(cell.Cordoned{AvailabilityZones: d.cordonedZones})
+		d.step(cell.ZonesCordoned{AvailabilityZones: d.cordonedZones})
 	}
 	d.applyNewestList()
-	d.step(cell.Waves{Waves: d.waves})
+	d.step(cell.WavesRequested{Waves: d.waves})
 	if d.isLeaving() {
-		d.cell.Leave() // Leave was called during the claim
+		d.cell.BeginLeave() // Leave was called during the claim
 	}
 	d.step(cell.Tick{Wall: time.Now()})
 }
@@ -278,7 +278,7 @@
 		d.endLeave()
 		return
 	}
-	d.cell.Leave()
+	d.cell.BeginLeave()
 	d.step(cell.Tick{Wall: time.Now()})
 }
 
--- a/dispatcher/list.go
+++ b/dispatcher/list.go
@@ -39,7 +39,7 @@
 		return
 	}
 	d.logFirstFreshList(&list)
-	d.step(cell.Hosts{List: list})
+	d.step(cell.WorkerList{List: list})
 }
 
 // applyNewestList passes the newest list to the cell of a new owner.
@@ -54,7 +54,7 @@
 // logFirstFreshList logs the first list of workers that is fresh enough for a new owner to start
 // tasks.
 func (d *Dispatcher) logFirstFreshList(list *provider.HostList) {
-	if !d.hostList.awaitingFresh || d.hostList.ownerSince-list.AsOf >= d.timing.ListAge {
+	if !d.hostList.awaitingFresh || d.hostList.ownerSince-list.AsOf >= d.timing.MaxListAge {
 		return
 	}
 	d.hostList.awaitingFresh = false
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -41,7 +41,7 @@
 		d.tomb.Go(func() error { d.save(a); return nil })
 	case cell.Deposed:
 		d.relinquish(a.Reason)
-	case cell.Note:
+	case cell.LogEvent:
 		d.logEvent(a)
 	}
 }
@@ -99,7 +99,7 @@
 	if err == nil {
 		d.applySaved(a.Records)
 	}
-	d.sendInput(cell.Saved{Sequence: a.Sequence, Err: err})
+	d.sendInput(cell.SaveReply{Sequence: a.Sequence, Err: err})
 }
 
 func (d *Dispatcher) applySaved(records []provider.KeyedRecord) {
@@ -114,16 +114,16 @@
 // empty list: tasks on a worker that doesn't answer would count as ended.
 func (d *Dispatcher) listMachines(ctx context.Context) cell.Input {
 	if d.platform.Machines == nil {
-		return cell.MachineList{Err: fault.New(fault.Unavailable, "the site has no list of machines")}
+		return cell.ListMachinesReply{Err: fault.New(fault.Unavailable, "the site has no list of machines")}
 	}
 	sent := d.clock()
 	machines, err := d.platform.Machines.List(ctx)
-	return cell.MachineList{Machines: machines, Sent: sent, Err: err}
+	return cell.ListMachinesReply{Machines: machines, Sent: sent, Err: err}
 }
 
 // advise requests the adviser's tickets for a step.
 func (d *Dispatcher) advise(ctx context.Context, a cell.Advise) cell.Input {
-	reply := cell.Advised{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Sent: d.clock()}
+	reply := cell.AdviseReply{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Sent: d.clock()}
 	if d.platform.Adviser == nil {
 		reply.Err = fault.New(fault.Unavailable, "the site has no adviser")
 		return reply
@@ -166,14 +166,14 @@
 		records = append(records, catalog.DropRecords(id)...)
 	}
 	err := d.platform.Store.Append(ctx, catalog.Accepts, nil, records)
-	return cell.Forgotten{IDs: a.IDs, Err: err}
+	return cell.ForgetReply{IDs: a.IDs, Err: err}
 }
 
 // logEvent writes a decision of the cell to the log.
-func (d *Dispatcher) logEvent(n cell.Note) {
-	fields := make([]zap.Field, 0, len(n.Fields)/2+1)
-	for i := 0; i+1 < len(n.Fields); i += 2 {
-		fields = append(fields, zap.Any(n.Fields[i].(string), n.Fields[i+1]))
+func (d *Dispatcher) logEvent(e cell.LogEvent) {
+	fields := make([]zap.Field, 0, len(e.Fields)/2+1)
+	for i := 0; i+1 < len(e.Fields); i += 2 {
+		fields = append(fields, zap.Any(e.Fields[i].(string), e.Fields[i+1]))
 	}
-	d.logger.Info(n.Event, fields...)
+	d.logger.Info(e.Event, fields...)
 }
