--- a/daemon/control.go
+++ b/daemon/control.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	callTimeout   = 1500 * time.Millisecond
-	appendTimeout = 3 * time.Second
-	readLimit     = 2000
-	readWait      = time.Second
-	readTimeout   = 8 * time.Second
+	callTimeout    = 1500 * time.Millisecond
+	appendTimeout  = 3 * time.Second
+	maxReadEntries = 2000
+	readWait       = time.Second
+	readTimeout    = 8 * time.Second
 )
 
-// runControl is the control goroutine: the only one that touches the
-// controller. It never waits for anything but the next input.
+// runControl is the control goroutine, the only one that accesses the
+// controller. It blocks on nothing but the next input.
 func (d *Daemon) runControl() error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -34,71 +34,72 @@
 		case <-ticker.C:
 			d.step(controller.Tick{})
 		case e := <-d.inputs:
-			d.open(e)
+			d.process(e)
 		}
 	}
 }
 
-func (d *Daemon) open(e envelope) {
-	if e.run != nil {
-		e.run(d.control)
+func (d *Daemon) process(op controlOp) {
+	if op.run != nil {
+		op.run(d.control)
 	} else {
-		d.step(e.input)
+		d.step(op.input)
 	}
-	if e.done != nil {
-		close(e.done)
+	if op.done != nil {
+		close(op.done)
 	}
 }
 
 func (d *Daemon) step(in controller.Input) {
 	for _, a := range d.control.Step(time.Now(), in) {
-		d.carryOut(a)
+		d.performAction(a)
 	}
-	d.ready[0].Store(d.control.Next(controller.ZoneStream(d.self.AvailabilityZone)))
-	d.ready[1].Store(d.control.Next(controller.ConfigStream))
+	d.nextOffsets[0].Store(d.control.Next(controller.ZoneStream(d.self.AvailabilityZone)))
+	d.nextOffsets[1].Store(d.control.Next(controller.ConfigStream))
 }
 
-// put hands an input to the control goroutine.
-func (d *Daemon) put(in controller.Input) {
+// enqueue passes an input to the control goroutine.
+func (d *Daemon) enqueue(in controller.Input) {
 	select {
-	case d.inputs <- envelope{input: in}:
+	case d.inputs <- controlOp{input: in}:
 	case <-d.tomb.Dying():
 	}
 }
 
-// putAndWait hands over an input and waits until it was taken.
-func (d *Daemon) putAndWait(in controller.Input) {
-	d.wait(envelope{input: in, done: make(chan struct{})})
+// enqueueAndWait passes an input to the control goroutine and waits until it
+// was processed.
+func (d *Daemon) enqueueAndWait(in controller.Input) {
+	d.submit(controlOp{input: in, done: make(chan struct{})})
 }
 
-// inspect runs f on the control goroutine.
+// inspect runs f on the control goroutine and reports whether it ran.
 func (d *Daemon) inspect(f func(*controller.Controller)) bool {
-	return d.wait(envelope{run: f, done: make(chan struct{})})
+	return d.submit(controlOp{run: f, done: make(chan struct{})})
 }
 
-func (d *Daemon) wait(e envelope) bool {
+func (d *Daemon) submit(op controlOp) bool {
 	select {
-	case d.inputs <- e:
+	case d.inputs <- op:
 	case <-d.tomb.Dying():
 		return false
 	}
 	select {
-	case <-e.done:
+	case <-op.done:
 		return true
 	case <-d.tomb.Dying():
 		return false
 	}
 }
 
-// carryOut does what an action asks for, without waiting for its outcome.
-func (d *Daemon) carryOut(a controller.Action) {
+// performAction executes an action without waiting for its outcome.
+func (d *Daemon) performAction(a controller.Action) {
 	switch a := a.(type) {
 	case controller.Append:
-		d.tomb.Go(func() error { d.append(a); return nil })
+		d.tomb.Go(func() error { d.appendRecords(a); return nil })
 	case controller.Call:
-		d.tomb.Go(func() error { d.call(a); return nil })
+		d.tomb.Go(func() error { d.callWorker(a); return nil })
 	case controller.Poll:
-		d.tomb.Go(func() error { d.poll(a); return nil })
+		d.tomb.Go(func() error { d.pollReport(a); return nil })
 	case controller.Send:
 		d.send(a)
 	case controller.Link:
@@ -106,20 +107,20 @@
 	case controller.Publish:
 		d.gateway.Publish(a.Table)
 	case controller.Answer:
-		d.answer(a)
+		d.deliverAnswer(a)
 	case controller.Event:
-		d.event(a)
+		d.logEvent(a)
 	case controller.Left:
 		d.leftOnce.Do(func() { close(d.left) })
 	}
 }
 
-func (d *Daemon) append(a controller.Append) {
+func (d *Daemon) appendRecords(a controller.Append) {
 	ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), appendTimeout)
 	defer cancel()
 	_, err := d.log.Append(ctx, a.Stream, a.Data)
-	d.counters.appended(a, err)
-	d.put(controller.Appended{Stream: a.Stream, Err: err})
+	d.counters.countAppend(a, err)
+	d.enqueue(controller.Appended{Stream: a.Stream, Err: err})
 }
 
 func (d *Daemon) send(a controller.Send) {
@@ -128,13 +129,13 @@
 	}
 }
 
-func (d *Daemon) answer(a controller.Answer) {
-	if waiting, ok := d.answers.LoadAndDelete(a.ID); ok {
-		waiting.(chan controller.Answer) <- a
+func (d *Daemon) deliverAnswer(a controller.Answer) {
+	if answerCh, ok := d.answers.LoadAndDelete(a.ID); ok {
+		answerCh.(chan controller.Answer) <- a
 	}
 }
 
-func (d *Daemon) event(e controller.Event) {
+func (d *Daemon) logEvent(e controller.Event) {
 	fields := make([]zap.Field, 0, len(e.Fields)/2)
 	for i := 0; i+1 < len(e.Fields); i += 2 {
 		fields = append(fields, zap.Any(e.Fields[i].(string), e.Fields[i+1]))
@@ -149,41 +150,42 @@
 	}
 }
 
-// worker returns the client of the worker at an address.
-func (d *Daemon) worker(address string) provider.Worker {
-	if w, ok := d.clients.Load(address); ok {
-		return w.(provider.Worker)
+// workerClient returns the cached client of the worker at an address, and
+// creates it on first use.
+func (d *Daemon) workerClient(address string) provider.Worker {
+	if cached, ok := d.workerClients.Load(address); ok {
+		return cached.(provider.Worker)
 	}
-	w, _ := d.clients.LoadOrStore(address, client.NewWorker(address))
+	w, _ := d.workerClients.LoadOrStore(address, client.NewWorker(address))
 	return w.(provider.Worker)
 }
 
-// call makes one call to a worker and hands its answer to the controller.
-func (d *Daemon) call(a controller.Call) {
+// callWorker makes one call to a worker and passes the result to the controller.
+func (d *Daemon) callWorker(a controller.Call) {
 	ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), callTimeout)
 	defer cancel()
-	w := d.worker(a.Address)
+	w := d.workerClient(a.Address)
 	sent := time.Now()
 	switch a.Verb {
 	case controller.Acquire, controller.Renew, controller.Transfer:
 		l, err := d.callLease(ctx, w, a)
-		d.put(controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
+		d.enqueue(controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
 	default:
 		err := d.callTask(ctx, w, a)
-		d.put(controller.Called{Worker: a.Worker, Verb: a.Verb, Task: taskOf(a), Attempt: a.Spec.Attempt, Sent: sent, Err: err})
+		d.enqueue(controller.Called{Worker: a.Worker, Verb: a.Verb, Task: taskOf(a), Attempt: a.Spec.Attempt, Sent: sent, Err: err})
 	}
 }
 
-// poll asks a worker for its report.
-func (d *Daemon) poll(a controller.Poll) {
+// pollReport fetches a worker's report and passes it to the controller.
+func (d *Daemon) pollReport(a controller.Poll) {
 	ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), callTimeout)
 	defer cancel()
-	report, err := d.worker(a.Address).Report(ctx)
+	report, err := d.workerClient(a.Address).Report(ctx)
 	if err != nil {
 		d.logger.Debug("no report", zap.String("worker", a.Worker), zap.Error(err))
 		return
 	}
-	d.put(controller.Reported{Worker: a.Worker, Report: report})
+	d.enqueue(controller.Reported{Worker: a.Worker, Report: report})
 }
 
 func (d *Daemon) callLease(ctx context.Context, w provider.Worker, a controller.Call) (provider.Lease, error) {
@@ -220,15 +222,17 @@
 	return a.Task
 }
 
-// follow reads a stream's tail, one page at a time.
-func (d *Daemon) follow(index int, stream string) error {
+// followStream reads a stream's tail, one page at a time. The next read starts
+// only after the controller has processed the page, because the processing
+// sets nextOffsets[index].
+func (d *Daemon) followStream(index int, stream string) error {
 	for d.tomb.Alive() {
 		ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), readTimeout)
 		sent := time.Now()
-		page, err := d.log.Read(ctx, stream, d.ready[index].Load(), readLimit, readWait)
+		page, err := d.log.Read(ctx, stream, d.nextOffsets[index].Load(), maxReadEntries, readWait)
 		cancel()
-		d.counters.read(page, err)
-		d.putAndWait(controller.Read{Stream: stream, Sent: sent, Page: page, Err: err})
+		d.counters.countRead(page, err)
+		d.enqueueAndWait(controller.Read{Stream: stream, Sent: sent, Page: page, Err: err})
 		d.sleep(d.settings.Timing.Tail)
 	}
 	return nil
@@ -241,31 +245,31 @@
 	}
 }
 
-func (d *Daemon) pollList() error {
+func (d *Daemon) pollInstances() error {
 	for d.tomb.Alive() {
 		ctx, cancel := context.WithTimeout(d.tomb.Context(context.Background()), callTimeout)
 		instances, err := d.list.Instances(ctx)
 		cancel()
 		if err != nil {
-			d.logger.Debug("instances not listed", zap.Error(err)) // the last list stays
+			d.logger.Debug("instances not listed", zap.Error(err)) // the controller keeps the previous list
 		} else {
-			d.put(controller.Listed{Instances: instances})
+			d.enqueue(controller.Listed{Instances: instances})
 		}
 		d.sleep(listInterval)
 	}
 	return nil
 }
 
-func (d *Daemon) pollFree() error {
+func (d *Daemon) pollFreeSlots() error {
 	for d.tomb.Alive() {
-		d.put(controller.Free{Slots: d.gateway.Free()})
-		d.sleep(freeInterval)
+		d.enqueue(controller.Free{Slots: d.gateway.Free()})
+		d.sleep(freeSlotsInterval)
 	}
 	return nil
 }
 
-// receive turns messages from other instances into inputs.
-func (d *Daemon) receive() error {
+// receiveMessages converts messages from other instances to inputs.
+func (d *Daemon) receiveMessages() error {
 	for {
 		select {
 		case <-d.tomb.Dying():
@@ -274,14 +278,14 @@
 			if !ok {
 				return nil
 			}
-			if in := inputOf(r); in != nil {
-				d.put(in)
+			if in := inputFromMessage(r); in != nil {
+				d.enqueue(in)
 			}
 		}
 	}
 }
 
-func inputOf(r peer.Received) controller.Input {
+func inputFromMessage(r peer.Received) controller.Input {
 	switch m := r.Message.(type) {
 	case peer.Heartbeat:
 		return controller.Heard{Heartbeat: member.Heartbeat(m)}
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -7,13 +7,13 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// counters are the daemon's own metrics, published by expvar.
+// counters holds the metrics of log reads and appends, published by expvar.
 type counters struct {
 	appends, appendErrors, appendBytes expvar.Int
 	reads, readErrors, readBytes       expvar.Int
 }
 
-func (c *counters) appended(a controller.Append, err error) {
+func (c *counters) countAppend(a controller.Append, err error) {
 	c.appends.Add(1)
 	if err != nil {
 		c.appendErrors.Add(1)
@@ -23,7 +23,7 @@
 	}
 }
 
-func (c *counters) read(page provider.Page, err error) {
+func (c *counters) countRead(page provider.Page, err error) {
 	c.reads.Add(1)
 	if err != nil {
 		c.readErrors.Add(1)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -5,10 +5,10 @@
 // Usage:
 //
 //	d, err := daemon.New(settings, daemon.WithLogger(logger))
-//	err = d.Run(ctx) // until ctx is done and everything was handed over
+//	err = d.Run(ctx) // returns after ctx is done and the workers are handed over
 //
-// All goroutines live under one tomb: when one of them fails, the process
-// stops with its reason, and never goes on with a part missing.
+// All goroutines run under one tomb: when one of them fails, the whole process
+// stops with that error instead of running with a part missing.
 package daemon
 
 import (
@@ -32,57 +32,58 @@
 	"github.com/dogwoodladder/dogwoodladder/setting"
 )
 
-// Intervals that aren't settings.
+// Intervals, bounds and buffer sizes that aren't settings.
 const (
-	tickInterval = 100 * time.Millisecond
-	listInterval = time.Second
-	freeInterval = 500 * time.Millisecond
-	commandLimit = 5 * time.Second
-	inputBuffer  = 1024
+	tickInterval      = 100 * time.Millisecond
+	listInterval      = time.Second
+	freeSlotsInterval = 500 * time.Millisecond
+	commandTimeout    = 5 * time.Second
+	inputBuffer       = 1024
 )
 
-// Daemon is one instance. It is run once.
+// Daemon is one instance. Run may be called only once.
 type Daemon struct {
-	settings setting.Settings
-	logger   *zap.Logger
-	log      provider.Log
-	list     provider.List
-	clients  sync.Map // address to provider.Worker
-	mesh     *peer.Mesh
-	gateway  *gateway.Gateway
-	control  *controller.Controller
-	self     controller.Self
+	settings      setting.Settings
+	logger        *zap.Logger
+	log           provider.Log
+	list          provider.List
+	workerClients sync.Map // address to provider.Worker
+	mesh          *peer.Mesh
+	gateway       *gateway.Gateway
+	control       *controller.Controller
+	self          controller.Self
 
-	tomb      tomb.Tomb
-	inputs    chan envelope
-	ready     [2]atomic.Uint64 // next offsets to read
-	answers   sync.Map         // command ID to chan controller.Answer
-	lastID    atomic.Uint64
-	left      chan struct{}
-	leftOnce  sync.Once
-	addrs     Addresses
-	listeners []net.Listener
-	counters  counters
+	tomb        tomb.Tomb
+	inputs      chan controlOp
+	nextOffsets [2]atomic.Uint64 // next offset to read of the zone stream and the configuration stream
+	answers     sync.Map         // command ID to chan controller.Answer
+	lastID      atomic.Uint64
+	left        chan struct{} // closed when the controller has handed everything over
+	leftOnce    sync.Once
+	addrs       Addresses
+	listeners   []net.Listener
+	counters    counters
 }
 
-// Addresses are where an instance listens, host:port each.
+// Addresses are the listen addresses of an instance, host:port each.
 type Addresses struct {
 	Caller   string
 	Peer     string
 	Operator string
 }
 
-// envelope is an input, or a function to run on the control goroutine.
-type envelope struct {
+// controlOp is an input or a function to process on the control goroutine.
+// done, if set, is closed afterwards.
+type controlOp struct {
 	input controller.Input
 	run   func(*controller.Controller)
 	done  chan struct{}
 }
 
-// Option sets up a Daemon.
+// Option configures a Daemon.
 type Option func(*Daemon)
 
-// WithLogger sets where events go; the default drops them.
+// WithLogger sets the logger of events; the default discards them.
 func WithLogger(l *zap.Logger) Option {
 	return func(d *Daemon) { d.logger = l }
 }
@@ -92,7 +93,7 @@
 	d := &Daemon{
 		settings: s,
 		logger:   zap.NewNop(),
-		inputs:   make(chan envelope, inputBuffer),
+		inputs:   make(chan controlOp, inputBuffer),
 		left:     make(chan struct{}),
 	}
 	for _, opt := range opts {
@@ -109,7 +110,8 @@
 	return d
 }
 
-// Listen opens the listeners, so that the addresses are known before Run.
+// Listen opens the listeners, so that the addresses are known before Run. It
+// returns the same addresses when called again.
 func (d *Daemon) Listen() (Addresses, error) {
 	if d.listeners != nil {
 		return d.addrs, nil
@@ -123,22 +125,22 @@
 	return d.addrs, nil
 }
 
-// Run serves until ctx is done, then hands everything over and stops.
+// Run serves until ctx is done, then hands over the workers and stops.
 func (d *Daemon) Run(ctx context.Context) error {
 	if _, err := d.Listen(); err != nil {
 		return err
 	}
-	d.control = controller.New(d.self, timing(d.settings.Timing))
+	d.control = controller.New(d.self, controllerTiming(d.settings.Timing))
 	d.gateway = gateway.New(gateway.WithLogger(d.logger))
 	d.mesh = d.newMesh()
 	d.tomb.Go(func() error {
 		d.tomb.Go(d.runControl)
 		d.tomb.Go(func() error { return d.mesh.Run(d.tomb.Context(context.Background())) })
-		d.tomb.Go(d.receive)
-		d.tomb.Go(func() error { return d.follow(0, controller.ZoneStream(d.self.AvailabilityZone)) })
-		d.tomb.Go(func() error { return d.follow(1, controller.ConfigStream) })
-		d.tomb.Go(d.pollList)
-		d.tomb.Go(d.pollFree)
+		d.tomb.Go(d.receiveMessages)
+		d.tomb.Go(func() error { return d.followStream(0, controller.ZoneStream(d.self.AvailabilityZone)) })
+		d.tomb.Go(func() error { return d.followStream(1, controller.ConfigStream) })
+		d.tomb.Go(d.pollInstances)
+		d.tomb.Go(d.pollFreeSlots)
 		d.serve(d.listeners)
 		return d.stopWhenDone(ctx)
 	})
@@ -146,7 +148,7 @@
 }
 
 func (d *Daemon) newMesh() *peer.Mesh {
-	const missed = 3 // heartbeats before a link counts as silent
+	const missed = 3 // heartbeats missed before a link counts as silent
 	beat := d.settings.Timing.Heartbeat
 	return peer.New(
 		peer.WithSelf(member.Self{
@@ -158,13 +160,13 @@
 	)
 }
 
-// Kill stops the process's work at once, with nothing handed over. It is what
-// a test does in place of the death of the process.
+// Kill stops all goroutines at once without a handover. Tests use it to
+// simulate a crash of the process.
 func (d *Daemon) Kill() {
 	d.tomb.Kill(fault.New(fault.Internal, "killed"))
 }
 
-func timing(t setting.Timing) controller.Timing {
+func controllerTiming(t setting.Timing) controller.Timing {
 	return controller.Timing{
 		Heartbeat: t.Heartbeat,
 		Suspicion: t.Suspicion,
@@ -175,12 +177,13 @@
 		Append:    t.Append,
 		Snapshot:  t.Snapshot,
 		Fence:     2 * t.Suspicion,
-		Command:   commandLimit,
+		Command:   commandTimeout,
 	}
 }
 
-// stopWhenDone carries out a planned stop: no new work, workers handed over,
-// requests in flight finished, all within the drain time.
+// stopWhenDone performs a planned stop once ctx is done: it accepts no new
+// work, hands over the workers and finishes requests in flight, all within the
+// drain time.
 func (d *Daemon) stopWhenDone(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -188,7 +191,7 @@
 		return nil
 	}
 	d.logger.Info("leaving")
-	d.put(controller.Leave{})
+	d.enqueue(controller.Leave{})
 	drain, cancel := context.WithTimeout(context.Background(), d.settings.Timing.Drain)
 	defer cancel()
 	if err := d.gateway.Drain(drain); err != nil {
@@ -205,7 +208,7 @@
 	return nil
 }
 
-// listen opens the three listeners before anything is served.
+// listen opens the caller, peer and operator listeners, all or none.
 func (d *Daemon) listen() ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, a := range []string{d.settings.Caller.String(), d.settings.Peer.String(), d.settings.Operator.String()} {
@@ -226,8 +229,8 @@
 	return listeners, nil
 }
 
-// serve runs one server per listener, so that a flood of callers can't keep
-// peers or operators out.
+// serve runs one server per listener, so that a flood of caller requests can't
+// shut out peers or operators.
 func (d *Daemon) serve(listeners []net.Listener) {
 	handlers := []http.Handler{d.gateway.Callers(), d.peerHandler(), d.operatorHandler()}
 	for i, l := range listeners {
@@ -250,8 +253,8 @@
 	}
 }
 
-// peerHandler serves links and forwarded requests. It is no ServeMux, which
-// would redirect a forwarded path that holds "//" or "..".
+// peerHandler serves links and forwarded requests. It doesn't use a ServeMux,
+// which would redirect a forwarded path that contains "//" or "..".
 func (d *Daemon) peerHandler() http.Handler {
 	forwards := d.gateway.Forwards()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -17,17 +17,17 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// Bounds on operators' input.
+// Bounds on operators' requests.
 const (
-	maxManifest = 1 << 20
-	maxCommand  = 4 << 20
-	maxWait     = time.Minute
-	waitStep    = 200 * time.Millisecond
+	maxManifestBytes = 1 << 20
+	maxCommandBytes  = 4 << 20
+	maxWait          = time.Minute
+	waitPollInterval = 200 * time.Millisecond
 )
 
 // Submission is the body of POST /jobs.
 type Submission struct {
-	AvailabilityZone string        `json:"zone,omitempty"` // refused elsewhere; task IDs are unique within a zone
+	AvailabilityZone string        `json:"zone,omitempty"` // if set, instances of other zones refuse it; task IDs are unique within a zone
 	Tasks            []record.Task `json:"tasks"`
 }
 
@@ -40,10 +40,10 @@
 // Applied is the answer to POST /apply.
 type Applied struct {
 	Revision uint64   `json:"revision"`
-	Missing  []string `json:"missing,omitempty"` // instances not known to have it yet
+	Missing  []string `json:"missing,omitempty"` // instances not known to have the revision in force
 }
 
-// Failure is the body of every refusal.
+// Failure is the body of every error response.
 type Failure struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
@@ -64,16 +64,16 @@
 }
 
 func (d *Daemon) serveApply(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(r, maxManifest)
+	body, err := readBody(r, maxManifestBytes)
 	if err != nil {
 		refuse(w, err)
 		return
 	}
-	if _, err := manifest.Parse(nameOf(r), body); err != nil {
+	if _, err := manifest.Parse(manifestName(r), body); err != nil {
 		refuse(w, fault.New(fault.Invalid, "%s", err))
 		return
 	}
-	base, err := d.baseOf(r)
+	base, err := d.baseRevision(r)
 	if err != nil {
 		refuse(w, err)
 		return
@@ -88,9 +88,9 @@
 	reply(w, Applied{Revision: a.Revision, Missing: d.awaitMissing(r, a.Revision)})
 }
 
-// baseOf returns the revision that an apply replaces: the one it names, or
-// the one in force here.
-func (d *Daemon) baseOf(r *http.Request) (uint64, error) {
+// baseRevision returns the revision that an apply request replaces: the one
+// that its query names, or by default the one in force on this instance.
+func (d *Daemon) baseRevision(r *http.Request) (uint64, error) {
 	text := r.URL.Query().Get("base")
 	if text == "" {
 		var base uint64
@@ -104,8 +104,9 @@
 	return base, nil
 }
 
-// awaitMissing waits until a revision is in force everywhere, for as long as
-// the request asks, and returns the instances that lack it.
+// awaitMissing waits until a revision is in force on all instances, for at
+// most the wait time in the request's query, and returns the instances that
+// still lack it.
 func (d *Daemon) awaitMissing(r *http.Request, revision uint64) []string {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
@@ -119,7 +120,7 @@
 			return missing
 		}
 		select {
-		case <-time.After(waitStep):
+		case <-time.After(waitPollInterval):
 		case <-r.Context().Done():
 			return missing
 		}
@@ -139,7 +140,7 @@
 	_, err := d.command(func(id uint64) controller.Input {
 		return controller.Submit{ID: id, Tasks: s.Tasks}
 	})
-	answer(w, err)
+	replyOrRefuse(w, err)
 }
 
 func (d *Daemon) serveCancel(w http.ResponseWriter, r *http.Request) {
@@ -151,25 +152,25 @@
 	_, err := d.command(func(id uint64) controller.Input {
 		return controller.Cancel{ID: id, Tasks: s.Tasks, Jobs: s.Jobs}
 	})
-	answer(w, err)
+	replyOrRefuse(w, err)
 }
 
-// command hands a command to the controller and waits for its answer. The
-// controller answers every command within the command limit.
-func (d *Daemon) command(make func(id uint64) controller.Input) (controller.Answer, error) {
+// command passes a command to the controller and waits for its answer. The
+// controller answers every command within commandTimeout.
+func (d *Daemon) command(newInput func(id uint64) controller.Input) (controller.Answer, error) {
 	id := d.lastID.Add(1)
-	waiting := newAnswer()
-	d.answers.Store(id, waiting)
-	d.put(make(id))
+	answerCh := newAnswerChannel()
+	d.answers.Store(id, answerCh)
+	d.enqueue(newInput(id))
 	select {
-	case a := <-waiting:
+	case a := <-answerCh:
 		return a, a.Err
 	case <-d.tomb.Dying():
 		return controller.Answer{}, fault.New(fault.MayHaveRun, "the instance stopped")
 	}
 }
 
-func newAnswer() chan controller.Answer {
+func newAnswerChannel() chan controller.Answer {
 	return make(chan controller.Answer, 1)
 }
 
@@ -197,14 +198,15 @@
 	io.WriteString(w, "ok\n")
 }
 
-// Dump returns the whole state of the process as readable text.
+// Dump returns the whole state of the controller and the gateway as readable
+// text.
 func (d *Daemon) Dump() string {
 	var text string
 	d.inspect(func(c *controller.Controller) { text = c.Dump(time.Now()) })
 	return text + "\n# traffic\n" + d.gateway.Dump()
 }
 
-func nameOf(r *http.Request) string {
+func manifestName(r *http.Request) string {
 	if name := r.URL.Query().Get("file"); name != "" {
 		return name
 	}
@@ -223,7 +225,7 @@
 }
 
 func decodeBody(r *http.Request, into any) error {
-	body, err := readBody(r, maxCommand)
+	body, err := readBody(r, maxCommandBytes)
 	if err != nil {
 		return err
 	}
@@ -233,7 +235,7 @@
 	return nil
 }
 
-func answer(w http.ResponseWriter, err error) {
+func replyOrRefuse(w http.ResponseWriter, err error) {
 	if err != nil {
 		refuse(w, err)
 		return
--- a/daemon/refusal.go
+++ b/daemon/refusal.go
@@ -10,7 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// refuse answers with an error's row of the table of kinds.
+// refuse writes an error response with the status, headers and retry delay
+// that package fault defines for the error's kind.
 func refuse(w http.ResponseWriter, err error) {
 	kind := fault.KindOf(err)
 	a := kind.Answer()
