--- a/cmd/dogwoodladder/demo.go
+++ b/cmd/dogwoodladder/demo.go
@@ -14,7 +14,7 @@
 	Logs zapcore.Level `default:"error" help:"Least level of the instances' events that is shown: debug, info, warn or error."`
 }
 
-// Run ends with an error when a step failed or a guarantee didn't hold.
+// Run returns an error when a step failed or a guarantee didn't hold.
 func (c *demoCmd) Run(ctx context.Context) error {
 	return demo.New(demo.WithRate(c.Rate), demo.WithLogger(newLogger(c.Logs))).Run(ctx, os.Stdout)
 }
--- a/cmd/dogwoodladder/entry.go
+++ b/cmd/dogwoodladder/entry.go
@@ -11,16 +11,17 @@
 	"github.com/dogwoodladder/dogwoodladder/platform"
 )
 
-type nodeCmd struct{}
+type platformEntryCmd struct{}
 
-// collectAt is the garbage collector's target: an instance holds a few MB, so
-// collecting at four times that spares processor time for little memory.
-const collectAt = 300
+// gcPercent is the garbage collector's target percentage. An instance's live
+// heap is a few MB, so collecting at four times that size saves processor time
+// for little memory.
+const gcPercent = 300
 
 // Run serves as an entry instance of the users' platform until the context is
 // done.
-func (c *nodeCmd) Run(ctx context.Context) error {
-	debug.SetGCPercent(collectAt)
+func (c *platformEntryCmd) Run(ctx context.Context) error {
+	debug.SetGCPercent(gcPercent)
 	logger, stop := logs.New(os.Stdout, zapcore.InfoLevel, logs.WithKept(platform.KeptLines()...))
 	defer stop()
 	return platform.Run(ctx, logger)
--- a/cmd/dogwoodladder/explain.go
+++ b/cmd/dogwoodladder/explain.go
@@ -15,8 +15,8 @@
 	Logs   []string `arg:"" type:"existingfile" help:"Logs of the instances."`
 }
 
-// Run prints what the logs say of a job, in order of time, or of what was
-// late.
+// Run prints the events of one job in order of time, or with Losses the report
+// on all late jobs.
 func (c *explainCmd) Run() error {
 	if c.Losses {
 		return c.losses()
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// read hands each log to a reader.
+// read passes each log file to a reader function.
 func (c *explainCmd) read(to func(name string, r io.Reader) error) error {
 	for _, name := range c.Logs {
 		if err := readLog(name, to); err != nil {
--- a/cmd/dogwoodladder/load.go
+++ b/cmd/dogwoodladder/load.go
@@ -15,8 +15,8 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-// ledgerTimeout bounds asking one worker what it ran.
-const ledgerTimeout = 10 * time.Second
+// standinTimeout bounds one request to a stand-in.
+const standinTimeout = 10 * time.Second
 
 type callerCmd struct {
 	Service string        `required:"" help:"Service to ask."`
@@ -30,9 +30,9 @@
 }
 
 // Run sends requests to all entry instances on the list, and then compares
-// what was answered with what the workers ran.
+// the answers with the ledgers of the workers.
 func (c *callerCmd) Run(ctx context.Context) error {
-	entries, err := listed(ctx, c.List, provider.RoleEntry)
+	entries, err := listInstances(ctx, c.List, provider.RoleEntry)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return auditFailed(caller.Audit(summary.Tries, ledger.Nonces))
+	return printViolations(caller.Audit(summary.Tries, ledger.Nonces))
 }
 
 type ledgerCmd struct {
@@ -85,10 +85,10 @@
 		}
 	}
 	fmt.Printf("tasks=%d runs=%d done=%d overlapping=%d\n", len(ledger.Tasks), runs, done, len(faults))
-	return auditFailed(faults)
+	return printViolations(faults)
 }
 
-func auditFailed(faults []string) error {
+func printViolations(faults []string) error {
 	for _, f := range faults {
 		fmt.Println(f)
 	}
@@ -98,15 +98,15 @@
 	return nil
 }
 
-// readLedger returns what ran on all listed workers together.
+// readLedger fetches and merges the ledgers of all listed workers.
 func readLedger(ctx context.Context, list string) (worker.Ledger, error) {
-	workers, err := listed(ctx, list, provider.RoleWorker)
+	workers, err := listInstances(ctx, list, provider.RoleWorker)
 	if err != nil {
 		return worker.Ledger{}, err
 	}
 	var ledgers []worker.Ledger
 	for _, w := range workers {
-		l, err := ledgerOf(ctx, w.Address)
+		l, err := fetchLedger(ctx, w.Address)
 		if err != nil {
 			return worker.Ledger{}, err
 		}
@@ -115,8 +115,8 @@
 	return worker.Merge(ledgers...), nil
 }
 
-func ledgerOf(ctx context.Context, address string) (worker.Ledger, error) {
-	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
+func fetchLedger(ctx context.Context, address string) (worker.Ledger, error) {
+	ctx, cancel := context.WithTimeout(ctx, standinTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/ledger", nil)
 	if err != nil {
@@ -132,8 +132,9 @@
 	return l, err
 }
 
-func listed(ctx context.Context, list string, role provider.Role) ([]provider.Instance, error) {
-	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
+// listInstances returns the instances on the list that have a role.
+func listInstances(ctx context.Context, list string, role provider.Role) ([]provider.Instance, error) {
+	ctx, cancel := context.WithTimeout(ctx, standinTimeout)
 	defer cancel()
 	all, err := client.NewList(list).Instances(ctx)
 	if err != nil {
@@ -155,7 +156,7 @@
 // Run prints one line for each instance on the list.
 func (c *instancesCmd) Run(ctx context.Context) error {
 	for _, role := range []provider.Role{provider.RoleEntry, provider.RoleWorker} {
-		instances, err := listed(ctx, c.List, role)
+		instances, err := listInstances(ctx, c.List, role)
 		if err != nil {
 			return err
 		}
--- a/cmd/dogwoodladder/operate.go
+++ b/cmd/dogwoodladder/operate.go
@@ -21,10 +21,10 @@
 
 const (
 	requestTimeout = 90 * time.Second
-	maxAnswer      = 64 << 20
+	maxAnswerBytes = 64 << 20
 )
 
-// target is the operator listener that a command talks to.
+// target holds the flags of commands that are sent to an operator listener.
 type target struct {
 	Operator string `required:"" placeholder:"IP:PORT" help:"Operator listener of any instance."`
 }
@@ -33,7 +33,7 @@
 	File string `arg:"" type:"existingfile" help:"Manifest file."`
 }
 
-// Run prints every problem with its place.
+// Run returns every problem in the manifest with its position.
 func (c *checkCmd) Run() error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -57,7 +57,8 @@
 	Anew   bool          `help:"Start over: for a configuration stream that expired and can no longer tell what is in force."`
 }
 
-// Run publishes the manifest and reports the revision and who lacks it.
+// Run publishes the manifest, and prints its revision and the instances where
+// it isn't in force yet.
 func (c *applyCmd) Run(ctx context.Context) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -90,7 +91,7 @@
 }
 
 func (c *statusCmd) Run(ctx context.Context) error {
-	return c.show(ctx, "/status")
+	return c.printAnswer(ctx, "/status")
 }
 
 type dumpCmd struct {
@@ -98,7 +99,7 @@
 }
 
 func (c *dumpCmd) Run(ctx context.Context) error {
-	return c.show(ctx, "/dump")
+	return c.printAnswer(ctx, "/dump")
 }
 
 type submitCmd struct {
@@ -163,7 +164,7 @@
 	return c.post(ctx, "/cancel", nil, body, nil)
 }
 
-func (t *target) show(ctx context.Context, path string) error {
+func (t *target) printAnswer(ctx context.Context, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Operator+path, nil)
@@ -175,7 +176,7 @@
 		return fault.Wrap(fault.Unavailable, err, "ask %s", t.Operator)
 	}
 	defer response.Body.Close()
-	_, err = io.Copy(os.Stdout, io.LimitReader(response.Body, maxAnswer))
+	_, err = io.Copy(os.Stdout, io.LimitReader(response.Body, maxAnswerBytes))
 	return err
 }
 
@@ -194,12 +195,12 @@
 		return fault.Wrap(fault.Unavailable, err, "ask %s", t.Operator)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return refused(response, answer)
+		return refusalError(response, answer)
 	}
 	if into == nil {
 		return nil
@@ -207,9 +208,9 @@
 	return json.Unmarshal(answer, into)
 }
 
-// refused tells what a refusal says of whether the command ran and when to
-// come back.
-func refused(response *http.Response, body []byte) error {
+// refusalError converts an error response to an error that states whether the
+// command ran and when to retry.
+func refusalError(response *http.Response, body []byte) error {
 	var f daemon.Failure
 	if err := json.Unmarshal(body, &f); err != nil {
 		return fmt.Errorf("status %d: %s", response.StatusCode, body)
--- a/cmd/dogwoodladder/readme_test.go
+++ b/cmd/dogwoodladder/readme_test.go
@@ -12,7 +12,8 @@
 	"github.com/dogwoodladder/dogwoodladder/setting"
 )
 
-// TestReadme holds the tables of the README equal to what the program knows.
+// TestReadme checks that the README's tables of settings and commands are those
+// generated from the code.
 func TestReadme(t *testing.T) {
 	data, err := os.ReadFile("../../README.md")
 	is.New(t).NoErr(err)
--- a/cmd/dogwoodladder/script_test.go
+++ b/cmd/dogwoodladder/script_test.go
@@ -24,16 +24,16 @@
 const (
 	portsPerScript = 14
 	firstPort      = 11_000
-	portRange      = 18_000 // ends below the ports that the system gives to outgoing connections
-	pollEvery      = 100 * time.Millisecond
-	pollLimit      = 40 * time.Second // only for a run that is going to fail
-	stopLimit      = 20 * time.Second
-	commandTime    = 15 * time.Second
-	dumpTime       = time.Second // for instances to write their dumps, after a failure only
+	portRange      = 18_000 // ends below the ephemeral ports of outgoing connections
+	pollInterval   = 100 * time.Millisecond
+	pollTimeout    = 40 * time.Second // reached only by a failing test
+	stopTimeout    = 20 * time.Second
+	commandTimeout = 15 * time.Second
+	dumpWait       = time.Second // for instances to write their dumps after a failure
 )
 
-// TestScript runs the built binary as separate processes over loopback, as
-// testdata/script/*.txtar say.
+// TestScript runs the scripts testdata/script/*.txtar, which start the built
+// binary as separate processes over loopback.
 func TestScript(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", filepath.Join(bin, "dogwoodladder"), ".")
@@ -46,7 +46,7 @@
 		Setup: func(e *testscript.Env) error {
 			e.Setenv("PATH", bin+string(os.PathListSeparator)+e.Getenv("PATH"))
 			e.Values[processesKey{}] = make(map[string]*process)
-			return ports.set(e)
+			return ports.setVariables(e)
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"start":     start,
@@ -60,7 +60,7 @@
 	})
 }
 
-// ports finds free ports for the scripts, which run side by side.
+// ports assigns free ports to the scripts, which run in parallel.
 type ports struct {
 	mu   sync.Mutex
 	next int
@@ -70,12 +70,12 @@
 	return &ports{next: os.Getpid() * portsPerScript}
 }
 
-// set sets PORT1, PORT2 and so on.
-func (p *ports) set(e *testscript.Env) error {
+// setVariables sets the script's variables PORT1, PORT2 and so on.
+func (p *ports) setVariables(e *testscript.Env) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := 1; n <= portsPerScript; n++ {
-		port, err := p.free()
+		port, err := p.nextFree()
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (p *ports) free() (int, error) {
+func (p *ports) nextFree() (int, error) {
 	for range portRange {
 		port := firstPort + p.next%portRange
 		p.next++
@@ -110,8 +110,8 @@
 	return ts.Value(processesKey{}).(map[string]*process)
 }
 
-// start NAME COMMAND ARG... runs a command in the background, with its output
-// in NAME.log, and ends it with the script whatever becomes of that.
+// start implements "start NAME COMMAND [ARG...]": it runs a command in the
+// background with its output in NAME.log, and kills it when the script ends.
 func start(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: start NAME COMMAND [ARG...]")
@@ -131,41 +131,43 @@
 	}()
 	processes(ts)[name] = p
 	ts.Defer(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // fails if the process has ended already
 		<-p.ended
 	})
 }
 
-// terminate NAME sends SIGTERM and fails unless the process ends well.
+// terminate implements "terminate NAME": it sends SIGTERM and fails unless the
+// process exits with status 0.
 func terminate(ts *testscript.TestScript, neg bool, args []string) {
-	p := named(ts, neg, args)
+	p := namedProcess(ts, neg, args)
 	ts.Check(p.cmd.Process.Signal(syscall.SIGTERM))
-	p.await(ts)
+	p.awaitSuccess(ts)
 }
 
-// crash NAME kills a process, which gets no chance to do anything.
+// crash implements "crash NAME": it kills a process with SIGKILL.
 func crash(ts *testscript.TestScript, neg bool, args []string) {
-	p := named(ts, neg, args)
+	p := namedProcess(ts, neg, args)
 	ts.Check(p.cmd.Process.Kill())
 	<-p.ended
 }
 
-// await NAME fails unless the process ends well by itself.
+// await implements "await NAME": it waits for a process and fails unless it
+// exits with status 0.
 func await(ts *testscript.TestScript, neg bool, args []string) {
-	named(ts, neg, args).await(ts)
+	namedProcess(ts, neg, args).awaitSuccess(ts)
 }
 
-func named(ts *testscript.TestScript, neg bool, args []string) *process {
+func namedProcess(ts *testscript.TestScript, neg bool, args []string) *process {
 	if neg || len(args) != 1 || processes(ts)[args[0]] == nil {
 		ts.Fatalf("want the NAME of a started process")
 	}
 	return processes(ts)[args[0]]
 }
 
-func (p *process) await(ts *testscript.TestScript) {
+func (p *process) awaitSuccess(ts *testscript.TestScript) {
 	select {
 	case <-p.ended:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		ts.Fatalf("%v didn't end\n%s", p.cmd.Args, ts.ReadFile(p.output))
 	}
 	if p.err != nil {
@@ -173,7 +175,7 @@
 	}
 }
 
-// expand FILE... replaces variables in files.
+// expand implements "expand FILE...": it expands the script's variables in files.
 func expand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg {
 		ts.Fatalf("usage: expand FILE...")
@@ -184,27 +186,27 @@
 	}
 }
 
-// until PATTERN COMMAND ARG... repeats a command until it succeeds and its
-// output matches. The repetition is a poll of a condition, never a fixed wait.
+// until implements "until PATTERN COMMAND [ARG...]": it repeats a command until
+// it succeeds and its output matches.
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: until PATTERN COMMAND [ARG...]")
 	}
-	pattern, err := regexp.Compile("(?m)" + args[0]) // as the built-in commands do
+	pattern, err := regexp.Compile("(?m)" + args[0]) // same flag as testscript's stdout command
 	ts.Check(err)
 	var out []byte
-	for end := time.Now().Add(pollLimit); time.Now().Before(end); time.Sleep(pollEvery) {
+	for end := time.Now().Add(pollTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		out, err = run(ts, args[1:])
 		if err == nil && pattern.Match(out) {
 			return
 		}
 	}
-	ts.Logf("%s", tails(ts))
+	ts.Logf("%s", processTails(ts))
 	ts.Fatalf("no %q, last: %v\n%s", pattern, err, out)
 }
 
 func run(ts *testscript.TestScript, args []string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), commandTime)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	return command(ts, ctx, args).CombinedOutput()
 }
@@ -224,16 +226,16 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// tails returns the last lines that each process wrote, with a dump of the
-// state of each instance.
-func tails(ts *testscript.TestScript) string {
+// processTails returns the end of each process's output, after making each instance
+// dump its state there.
+func processTails(ts *testscript.TestScript) string {
 	const most = 8000
 	for _, p := range processes(ts) {
 		if p.cmd.Args[1] == "serve" {
-			_ = p.cmd.Process.Signal(syscall.SIGUSR1) // it may have ended
+			_ = p.cmd.Process.Signal(syscall.SIGUSR1) // fails if the process has ended
 		}
 	}
-	time.Sleep(dumpTime)
+	time.Sleep(dumpWait)
 	var b bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(processes(ts))) {
 		text := ts.ReadFile(processes(ts)[name].output)
--- a/cmd/dogwoodladder/serve.go
+++ b/cmd/dogwoodladder/serve.go
@@ -20,8 +20,8 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file of the process."`
 }
 
-// Run serves until the context is done. SIGUSR1 writes a dump of the state
-// to standard error.
+// Run serves until the context is done. On SIGUSR1 it writes a dump of the
+// state to standard error.
 func (c *serveCmd) Run(ctx context.Context) error {
 	data, err := os.ReadFile(c.Settings)
 	if err != nil {
--- a/cmd/dogwoodladder/standin.go
+++ b/cmd/dogwoodladder/standin.go
@@ -101,7 +101,8 @@
 	return w.Serve(ctx, l)
 }
 
-// entryCmd lists an entry instance, as the platform would.
+// entryCmd registers an entry instance on the instance list, which the platform
+// does in production.
 type entryCmd struct {
 	ID      string `required:"" help:"Instance ID."`
 	Zone    string `required:"" help:"Availability zone."`
@@ -126,7 +127,7 @@
 	})
 }
 
-// parseFaults returns the faults in text, which is JSON.
+// parseFaults parses faults from JSON and rejects unknown fields.
 func parseFaults[F any](text string) (F, error) {
 	var f F
 	decoder := json.NewDecoder(strings.NewReader(text))
