--- a/demo/batch.go
+++ b/demo/batch.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	steadyTime  = 2500 * time.Millisecond
-	urgentLimit = 7300 * time.Millisecond // from submission to start
+	steadyTime    = 2500 * time.Millisecond
+	urgentTimeout = 7300 * time.Millisecond // from submission to start
 )
 
 // submit queues the batch work.
@@ -25,12 +25,13 @@
 			}
 		}
 	}
-	s.report.event("submitted", "tasks=%d, those that the manifest declares included", len(s.work.tasks))
+	s.report.event("submitted", "tasks=%d, those that the manifest declares included", len(s.workload.tasks))
 	return pause(ctx, steadyTime)
 }
 
-// hurry queues an urgent task in each zone, behind work that waits.
-func (s *scenario) hurry(ctx context.Context) error {
+// submitUrgent queues an urgent task in each zone behind waiting tasks, and waits until
+// they start.
+func (s *scenario) submitUrgent(ctx context.Context) error {
 	for _, zone := range zones {
 		if err := s.queue(ctx, zone, []record.Task{urgentTask(zone)}); err != nil {
 			return err
@@ -40,8 +41,8 @@
 }
 
 func (s *scenario) queue(ctx context.Context, zone string, tasks []record.Task) error {
-	s.work.add(zone, tasks)
-	if err := s.site.first(zone).operator.submit(ctx, tasks); err != nil {
+	s.workload.add(zone, tasks)
+	if err := s.site.firstInstance(zone).operator.submit(ctx, tasks); err != nil {
 		return fmt.Errorf("submit to zone %s: %w", zone, err)
 	}
 	return nil
@@ -52,47 +53,47 @@
 	started := func(context.Context) bool {
 		ledger := s.site.ledger("")
 		for _, zone := range zones {
-			if !ran(ledger, urgentTask(zone).ID) {
+			if !hasRun(ledger, urgentTask(zone).ID) {
 				return false
 			}
 		}
 		return true
 	}
-	err := s.until(ctx, urgentLimit, "urgent tasks start", started)
+	err := s.waitUntil(ctx, urgentTimeout, "urgent tasks start", started)
 	if ctx.Err() != nil {
 		return err
 	}
 	if err != nil {
-		s.late = append(s.late, err.Error())
+		s.lateUrgent = append(s.lateUrgent, err.Error())
 	}
-	s.report.event("urgent", "tasks=%d started=%v after=%v", len(zones), err == nil, short(time.Since(start)))
+	s.report.event("urgent", "tasks=%d started=%v after=%v", len(zones), err == nil, roundLatency(time.Since(start)))
 	return nil
 }
 
-// finish waits until every task has completed on record.
+// finish waits until every task is recorded as completed.
 func (s *scenario) finish(ctx context.Context) error {
-	err := s.until(ctx, maxRuntime, "tasks complete", s.allDone)
+	err := s.waitUntil(ctx, maxRuntime, "tasks complete", s.allDone)
 	if !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
 	s.reportUnfinished()
-	return nil // what is missing counts with the guarantees
+	return nil // verify counts the unfinished tasks
 }
 
-// reportUnfinished writes how far the tasks are that haven't completed, as an
-// instance of their zone sees them.
+// reportUnfinished writes the state of each task that hasn't completed once, from
+// the dump of an instance of its zone.
 func (s *scenario) reportUnfinished() {
-	ctx, cancel := context.WithTimeout(context.Background(), verifyLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), verifyTimeout)
 	defer cancel()
 	done := completedTasks(s.site.ledger(""))
 	for _, zone := range zones {
-		text, err := s.site.first(zone).operator.dump(ctx)
+		text, err := s.site.firstInstance(zone).operator.dump(ctx)
 		if err != nil {
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
 			id, _, _ := strings.Cut(strings.TrimPrefix(line, "task "), " ")
-			if s.work.zones[id] == zone && done[id] != 1 {
+			if s.workload.zones[id] == zone && done[id] != 1 {
 				s.report.event("unfinished", "%s", strings.TrimSpace(line))
 			}
 		}
@@ -102,7 +103,7 @@
 func (s *scenario) allDone(ctx context.Context) bool {
 	done := 0
 	for _, zone := range zones {
-		status, err := s.site.first(zone).operator.status(ctx)
+		status, err := s.site.firstInstance(zone).operator.status(ctx)
 		if err != nil {
 			return false
 		}
@@ -110,13 +111,13 @@
 			done += int(g.Group.Done)
 		}
 	}
-	return done >= len(s.work.tasks)
+	return done >= len(s.workload.tasks)
 }
 
 func (s *scenario) evictions(ctx context.Context) int {
 	n := 0
 	for _, zone := range zones {
-		status, err := s.site.first(zone).operator.status(ctx)
+		status, err := s.site.firstInstance(zone).operator.status(ctx)
 		if err != nil {
 			continue
 		}
@@ -127,7 +128,7 @@
 	return n
 }
 
-func ran(l worker.Ledger, id string) bool {
+func hasRun(l worker.Ledger, id string) bool {
 	for _, a := range l.Tasks {
 		if a.Task == id {
 			return true
--- a/demo/begin.go
+++ b/demo/begin.go
@@ -10,30 +10,30 @@
 	"github.com/dogwoodladder/dogwoodladder/manifest"
 )
 
-const startLimit = 8 * time.Second
+const startTimeout = 8 * time.Second
 
-// begin puts the first configuration in force and waits until every instance
-// answers requests.
+// begin applies the first manifest and waits until every instance answers
+// requests.
 func (s *scenario) begin(ctx context.Context) error {
 	s.report.event("started", "zones=%d instances=%d workers=%d", len(zones), len(s.site.instances), len(s.site.workers))
-	if err := s.until(ctx, startLimit, "instances know each other", s.acquainted); err != nil {
+	if err := s.waitUntil(ctx, startTimeout, "instances know each other", s.membershipComplete); err != nil {
 		return err
 	}
-	m, err := manifest.Parse("first.yaml", read("first"))
+	m, err := manifest.Parse("first.yaml", readManifest("first"))
 	if err != nil {
 		return err
 	}
 	s.manifest = m
-	s.work = newWorkload(m)
+	s.workload = newWorkload(m)
 	if err := s.apply(ctx, "amina", "first"); err != nil {
 		return err
 	}
-	return s.until(ctx, startLimit, "service answers everywhere", s.serving)
+	return s.waitUntil(ctx, startTimeout, "service answers everywhere", s.serviceReady)
 }
 
-// acquainted reports whether every instance sees all others live and has
-// read its zone's stream.
-func (s *scenario) acquainted(ctx context.Context) bool {
+// membershipComplete reports whether every instance is ready, sees all instances live and
+// knows its zone's workers.
+func (s *scenario) membershipComplete(ctx context.Context) bool {
 	for _, in := range s.site.running() {
 		status, err := in.operator.status(ctx)
 		if err != nil || !status.Ready || status.live() < len(s.site.instances) || len(status.Workers) < workersPerZone {
@@ -43,9 +43,9 @@
 	return true
 }
 
-// serving reports whether a request to every instance is answered.
-func (s *scenario) serving(ctx context.Context) bool {
-	for _, address := range s.site.callers() {
+// serviceReady reports whether a request to every instance is answered.
+func (s *scenario) serviceReady(ctx context.Context) bool {
+	for _, address := range s.site.callerAddresses() {
 		response, err := http.Get("http://" + address + "/services/" + service + "/ready")
 		if err != nil {
 			return false
@@ -58,9 +58,11 @@
 	return true
 }
 
+// apply publishes an embedded manifest and checks that it is in force on all
+// instances.
 func (s *scenario) apply(ctx context.Context, author, name string) error {
 	start := time.Now()
-	a, err := s.site.running()[0].operator.apply(ctx, author, "", read(name))
+	a, err := s.site.running()[0].operator.apply(ctx, author, "", readManifest(name))
 	if err != nil {
 		return fmt.Errorf("apply %s: %w", name, err)
 	}
@@ -68,6 +70,6 @@
 		return fault.New(fault.Internal, "revision %d isn't in force at %v", a.Revision, a.Missing)
 	}
 	s.revision = a.Revision
-	s.report.event("applied", "manifest=%s author=%s revision=%d in_force_everywhere_after=%v", name, author, a.Revision, short(time.Since(start)))
+	s.report.event("applied", "manifest=%s author=%s revision=%d in_force_everywhere_after=%v", name, author, a.Revision, roundLatency(time.Since(start)))
 	return nil
 }
--- a/demo/change.go
+++ b/demo/change.go
@@ -10,24 +10,25 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-const changeTime = 1500 * time.Millisecond // for evictions to happen
+const evictionTime = 1500 * time.Millisecond // for evictions to happen
 
-// reconfigure puts a second service in force that needs room which batch
-// tasks hold.
+// reconfigure applies a manifest with a second service, whose need can only be
+// met by evicting batch tasks.
 func (s *scenario) reconfigure(ctx context.Context) error {
 	before := s.evictions(ctx)
 	if err := s.apply(ctx, "amina", "second"); err != nil {
 		return err
 	}
-	if err := pause(ctx, changeTime); err != nil {
+	if err := pause(ctx, evictionTime); err != nil {
 		return err
 	}
 	s.report.event("evicted", "tasks=%d to make room for a service", s.evictions(ctx)-before)
 	return nil
 }
 
-// race lets two operators replace the same revision at the same time.
-func (s *scenario) race(ctx context.Context) error {
+// applyConcurrently lets two operators replace the same revision at the same time, and checks
+// that exactly one of them is accepted.
+func (s *scenario) applyConcurrently(ctx context.Context) error {
 	base := strconv.FormatUint(s.revision, 10)
 	type result struct {
 		author   string
@@ -37,9 +38,9 @@
 	results := make([]result, 2)
 	var operators sync.WaitGroup
 	for n, author := range []string{"shorter", "longer"} {
-		at := s.site.first(zones[n])
+		at := s.site.firstInstance(zones[n])
 		operators.Go(func() {
-			a, err := at.operator.apply(ctx, author, base, read(author))
+			a, err := at.operator.apply(ctx, author, base, readManifest(author))
 			results[n] = result{author, a.Revision, err}
 		})
 	}
--- a/demo/counts.go
+++ b/demo/counts.go
@@ -10,7 +10,7 @@
 // counts are numbers of events by kind.
 type counts map[string]int
 
-// String returns the counts as kind:number, and none when there are none.
+// String returns the counts as kind:number pairs sorted by kind, or "none".
 func (c counts) String() string {
 	if len(c) == 0 {
 		return "none"
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,14 +1,14 @@
-// Package demo runs the whole system within one process: two availability
-// zones with entry instances and workers, the platform's stand-ins, callers
-// and operators. It puts load on them, makes parts of them fail, and checks
-// from what the workers wrote down whether every guarantee held.
+// Package demo runs the whole system in one process: two availability zones with
+// entry instances and workers, the platform's stand-ins, callers and operators.
+// It generates load, injects failures, and checks from the workers' ledgers
+// whether every guarantee held.
 //
 // Usage:
 //
 //	err := demo.New(demo.WithRate(150)).Run(ctx, os.Stdout)
 //
-// Run ends by itself within half a minute. Everything listens on 127.0.0.1
-// at ports that are free.
+// Run ends by itself within half a minute. All parts listen on free ports of
+// 127.0.0.1.
 package demo
 
 import (
@@ -26,7 +26,7 @@
 const (
 	defaultRate = 150 // requests per second
 	defaultSeed = 1
-	maxRuntime  = 24 * time.Second // of the scenario; what ends it takes a few more
+	maxRuntime  = 24 * time.Second // of the scenario; verification and shutdown take a few seconds more
 )
 
 // Demo is one run of the system.
@@ -36,7 +36,7 @@
 	seed   uint64
 }
 
-// Option changes a Demo.
+// Option configures a Demo.
 type Option func(*Demo)
 
 // New returns a new Demo.
@@ -48,7 +48,7 @@
 	return d
 }
 
-// WithLogger sets where the instances' events go; the default drops them.
+// WithLogger sets the logger of the instances' events; the default discards them.
 func WithLogger(l *zap.Logger) Option {
 	return func(d *Demo) { d.logger = l }
 }
@@ -58,13 +58,13 @@
 	return func(d *Demo) { d.rate = perSecond }
 }
 
-// WithSeed sets what the callers' random choices follow from.
+// WithSeed sets the seed of the callers' random choices.
 func WithSeed(seed uint64) Option {
 	return func(d *Demo) { d.seed = seed }
 }
 
-// Run plays the scenario, writes what happened to w, and returns an error
-// when a step failed or a guarantee didn't hold.
+// Run runs the scenario, writes its events and results to w, and returns an
+// error if a step failed or a guarantee didn't hold.
 func (d *Demo) Run(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, maxRuntime)
 	defer cancel()
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -18,17 +18,17 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-// moment returns a time so many seconds into a run.
-func moment(seconds int) time.Time {
+// secondsIn returns the time this many seconds into a run.
+func secondsIn(seconds int) time.Time {
 	return time.Unix(int64(seconds), 0)
 }
 
 func run(attempt uint32, start, end int, from, to time.Duration, state provider.TaskState) worker.Interval {
-	return worker.Interval{Attempt: attempt, Start: moment(start), End: moment(end), From: from, To: to, State: state}
+	return worker.Interval{Attempt: attempt, Start: secondsIn(start), End: secondsIn(end), From: from, To: to, State: state}
 }
 
-// TestLedgerFaults shows that each check of the ledger finds what it is for,
-// and nothing in a run that is in order.
+// TestLedgerFaults checks that each check of the ledger finds its violation, and
+// none in a valid ledger.
 func TestLedgerFaults(t *testing.T) {
 	good := []worker.Interval{
 		run(1, 0, 2, 0, 2*time.Second, provider.TaskStopped),
@@ -39,25 +39,25 @@
 	ahead := []worker.Interval{good[0], run(2, 2, 4, 3*time.Second, 4*time.Second, provider.TaskDone)}
 	tests := []struct {
 		name                           string
-		account                        worker.Account
+		taskRuns                       worker.TaskRuns
 		overlap, incomplete, restarted bool
 	}{
-		{"in order", worker.Account{Runs: good}, false, false, false},
-		{"overlapping", worker.Account{Runs: good, Overlap: true}, true, false, false},
-		{"never done", worker.Account{Runs: good[:1]}, false, true, false},
-		{"done twice", worker.Account{Runs: again}, false, true, false},
-		{"attempt repeated", worker.Account{Runs: repeated}, false, false, true},
-		{"beyond the checkpoint", worker.Account{Runs: ahead}, false, false, true},
+		{"in order", worker.TaskRuns{Runs: good}, false, false, false},
+		{"overlapping", worker.TaskRuns{Runs: good, Overlap: true}, true, false, false},
+		{"never done", worker.TaskRuns{Runs: good[:1]}, false, true, false},
+		{"done twice", worker.TaskRuns{Runs: again}, false, true, false},
+		{"attempt repeated", worker.TaskRuns{Runs: repeated}, false, false, true},
+		{"beyond the checkpoint", worker.TaskRuns{Runs: ahead}, false, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			test.account.Task = "t"
-			ledger := worker.Ledger{Tasks: []worker.Account{test.account}}
-			s := &scenario{work: &workload{tasks: map[string]record.Task{"t": {}}}}
+			test.taskRuns.Task = "t"
+			ledger := worker.Ledger{Tasks: []worker.TaskRuns{test.taskRuns}}
+			s := &scenario{workload: &workload{tasks: map[string]record.Task{"t": {}}}}
 			is.Equal(len(overlaps(ledger)) > 0, test.overlap)
 			is.Equal(len(s.incomplete(ledger)) > 0, test.incomplete)
-			is.Equal(len(restarts(ledger)) > 0, test.restarted)
+			is.Equal(len(invalidRestarts(ledger)) > 0, test.restarted)
 		})
 	}
 }
@@ -71,9 +71,9 @@
 		changes []change
 		want    resource.Vector
 	}{
-		{"side by side", []change{{moment(0), one}, {moment(1), two}, {moment(2), none.Sub(one)}}, one.Add(two)},
-		{"one after the other", []change{{moment(0), one}, {moment(1), one}, {moment(1), none.Sub(one)}}, one},
-		{"each resource by itself", []change{{moment(0), one}, {moment(1), none.Sub(one)}, {moment(2), two}}, resource.Vector{Processors: 2, Memory: 10}},
+		{"side by side", []change{{secondsIn(0), one}, {secondsIn(1), two}, {secondsIn(2), none.Sub(one)}}, one.Add(two)},
+		{"one after the other", []change{{secondsIn(0), one}, {secondsIn(1), one}, {secondsIn(1), none.Sub(one)}}, one},
+		{"each resource by itself", []change{{secondsIn(0), one}, {secondsIn(1), none.Sub(one)}, {secondsIn(2), two}}, resource.Vector{Processors: 2, Memory: 10}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,15 +82,15 @@
 	}
 }
 
-func TestWatchSeesRevisionGoBack(t *testing.T) {
+func TestWatchFindsRollback(t *testing.T) {
 	is := is.New(t)
 	w := newWatch(nil)
 	for _, revision := range []uint64{0, 1, 1, 3} {
-		w.see("e", revision)
+		w.checkRevision("e", revision)
 	}
-	is.Equal(len(w.backward), 0)
-	w.see("e", 2)
-	is.Equal(len(w.backward), 1)
+	is.Equal(len(w.rollbacks), 0)
+	w.checkRevision("e", 2)
+	is.Equal(len(w.rollbacks), 1)
 }
 
 func TestCutOff(t *testing.T) {
@@ -121,8 +121,8 @@
 	is.Equal(out.String(), "  ok      kept\n  BROKEN  lost (1)\n            why\n")
 }
 
-// TestTiming holds the shortened timing to the relations that a settings file
-// has to keep.
+// TestTiming checks that the shortened timing passes the validation of settings
+// files.
 func TestTiming(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("instance: e\nzone: z\nlisten: {caller: '127.0.0.1:1', peer: '127.0.0.1:2', operator: '127.0.0.1:3'}\n")
@@ -136,15 +136,15 @@
 	is.New(t).Equal(s.Timing, timing)
 }
 
-// TestManifests checks the embedded manifests, and that they leave the limits
-// of batch work as they are, which the check of shares relies on.
+// TestManifests checks that the embedded manifests are valid successors of the
+// first and keep its limits of batch work, which overShare relies on.
 func TestManifests(t *testing.T) {
-	first, err := manifest.Parse("first", read("first"))
+	first, err := manifest.Parse("first", readManifest("first"))
 	is.New(t).NoErr(err)
 	for _, name := range []string{"second", "shorter", "longer"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m, err := manifest.Parse(name, read(name))
+			m, err := manifest.Parse(name, readManifest(name))
 			is.NoErr(err)
 			is.NoErr(m.Follow(first))
 			for _, zone := range zones {
--- a/demo/failure.go
+++ b/demo/failure.go
@@ -14,7 +14,7 @@
 	stopTime   = time.Second
 )
 
-// breakLog takes the log service away for a while.
+// breakLog takes the log service down for outageTime.
 func (s *scenario) breakLog(ctx context.Context) error {
 	before := completions(s.site.ledger(""))
 	s.report.event("log down", "for=%v", outageTime)
@@ -27,15 +27,15 @@
 	return nil
 }
 
-// kill stops an instance without the time to finish or hand over anything. Its
-// leases stay in force until they end, and its requests are cut off.
+// kill stops an instance without a handover, like a crash. Its leases stay in
+// force until they expire, and its requests are cut off.
 func (s *scenario) kill(ctx context.Context) error {
 	start := time.Now()
-	in := s.site.find(victim)
+	in := s.site.findInstance(victim)
 	in.stopped.Store(true)
 	in.kill()
 	<-in.ended
-	s.report.event("killed", "instance=%s after=%v", in.id, short(time.Since(start)))
+	s.report.event("killed", "instance=%s after=%v", in.id, roundLatency(time.Since(start)))
 	if err := pause(ctx, killTime/2); err != nil {
 		return err
 	}
@@ -43,13 +43,13 @@
 	return pause(ctx, killTime/2)
 }
 
-// stop shuts an instance down as planned, with requests under way.
+// stop performs a planned stop of an instance with requests in flight.
 func (s *scenario) stop(ctx context.Context) error {
 	if err := pause(ctx, stopTime/2); err != nil {
 		return err
 	}
-	leaving := s.site.last(zones[1])
-	if err := s.site.list.Put(leaving.listed(provider.StatusLeaving)); err != nil {
+	leaving := s.site.lastInstance(zones[1])
+	if err := s.site.list.Put(leaving.listEntry(provider.StatusLeaving)); err != nil {
 		return err
 	}
 	inFlight := leaving.operator.inFlight(ctx)
@@ -61,7 +61,7 @@
 		return ctx.Err()
 	}
 	s.site.list.Delete(leaving.id)
-	s.report.event("stopped", "instance=%s requests_in_flight=%d after=%v", leaving.id, inFlight, short(time.Since(start)))
+	s.report.event("stopped", "instance=%s requests_in_flight=%d after=%v", leaving.id, inFlight, roundLatency(time.Since(start)))
 	if leaving.err != nil {
 		return fault.Wrap(fault.Internal, leaving.err, "planned stop of %s", leaving.id)
 	}
--- a/demo/instance.go
+++ b/demo/instance.go
@@ -13,8 +13,8 @@
 	"github.com/dogwoodladder/dogwoodladder/setting"
 )
 
-// timing is that of a daemon scaled down, so that each failure is noticed
-// and repaired within seconds.
+// timing is shorter than a daemon's default timing, so that each failure is
+// detected and repaired within seconds.
 var timing = setting.Timing{
 	Heartbeat: 100 * time.Millisecond,
 	Suspicion: 600 * time.Millisecond,
@@ -28,7 +28,7 @@
 	Drain:     2 * time.Second,
 }
 
-// instance is an entry instance under way.
+// instance is an entry instance that runs in this process.
 type instance struct {
 	id        string
 	zone      string
@@ -38,7 +38,7 @@
 	kill      func()
 	stopped   atomic.Bool
 	ended     chan struct{}
-	err       error // once ended
+	err       error // set when ended is closed
 }
 
 func startInstance(s *site, id, zone string) (*instance, error) {
@@ -66,21 +66,21 @@
 }
 
 func (s *site) settings(id, zone string) setting.Settings {
-	any := netip.MustParseAddrPort(loopback)
+	freePort := netip.MustParseAddrPort(loopback)
 	settings := setting.Default()
 	settings.Instance = id
 	settings.AvailabilityZone = zone
-	settings.Caller = any
-	settings.Peer = any
-	settings.Operator = any
+	settings.Caller = freePort
+	settings.Peer = freePort
+	settings.Operator = freePort
 	settings.Log = s.logAddr
 	settings.List = s.listAddr
 	settings.Timing = timing
 	return settings
 }
 
-// listed returns the instance's line in the instance list.
-func (i *instance) listed(status provider.Status) provider.Instance {
+// listEntry returns the instance's entry in the instance list.
+func (i *instance) listEntry(status provider.Status) provider.Instance {
 	return provider.Instance{
 		ID:               i.id,
 		Role:             provider.RoleEntry,
@@ -91,7 +91,7 @@
 	}
 }
 
-// stop starts a planned stop.
+// stop starts a planned stop and doesn't wait for its end.
 func (i *instance) stop() {
 	i.stopped.Store(true)
 	i.cancel()
--- a/demo/operator.go
+++ b/demo/operator.go
@@ -18,7 +18,7 @@
 
 const (
 	operatorTimeout = 10 * time.Second
-	maxAnswer       = 4 << 20
+	maxAnswerBytes  = 4 << 20
 	applyWait       = 5 * time.Second
 )
 
@@ -30,12 +30,12 @@
 	client  *http.Client
 }
 
-// refusal is a command that an instance refused.
+// refusal is the error response of an instance to a command.
 type refusal struct {
 	daemon.Failure
 }
 
-// status is what is used of an instance's controller.Status.
+// status holds the fields of an instance's controller.Status that the demo uses.
 type status struct {
 	Ready    bool                     `json:"ready"`
 	Revision uint64                   `json:"revision"`
@@ -48,7 +48,7 @@
 	} `json:"members"`
 }
 
-// live returns how many instances are live as the instance sees it.
+// live returns the number of instances that the answering instance sees live.
 func (s status) live() int {
 	n := 0
 	for _, m := range s.Members {
@@ -66,12 +66,13 @@
 	}
 }
 
-// Error returns what the operator was told.
+// Error returns the message, and whether the command ran.
 func (r refusal) Error() string {
 	return r.Message + " (" + r.Ran + ")"
 }
 
-// apply publishes a manifest in place of a revision.
+// apply publishes a manifest that replaces the revision base, or the one in force
+// if base is empty.
 func (o *operator) apply(ctx context.Context, author, base string, manifest []byte) (daemon.Applied, error) {
 	query := url.Values{"file": {author + ".yaml"}, "wait": {applyWait.String()}}
 	if base != "" {
@@ -97,8 +98,8 @@
 	return s, err
 }
 
-// inFlight returns how many requests are under way at the instance, which
-// its dump tells.
+// inFlight returns the number of requests in flight at the instance, read from
+// its dump.
 func (o *operator) inFlight(ctx context.Context) int {
 	text, err := o.dump(ctx)
 	if err != nil {
@@ -108,7 +109,7 @@
 	if match == nil {
 		return 0
 	}
-	n, _ := strconv.Atoi(string(match[1])) // it is digits
+	n, _ := strconv.Atoi(string(match[1])) // the pattern matches digits only
 	return n
 }
 
@@ -131,7 +132,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
--- a/demo/poll.go
+++ b/demo/poll.go
@@ -8,8 +8,8 @@
 
 const pollInterval = 50 * time.Millisecond
 
-// until polls a condition until it holds.
-func (s *scenario) until(ctx context.Context, limit time.Duration, what string, holds func(context.Context) bool) error {
+// waitUntil polls a condition until it holds or the time limit has passed.
+func (s *scenario) waitUntil(ctx context.Context, limit time.Duration, what string, holds func(context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for !holds(ctx) {
--- a/demo/report.go
+++ b/demo/report.go
@@ -8,7 +8,7 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/caller"
 )
 
-// report writes what happens, one line of key=value pairs for each event.
+// report writes the run's output, one line of key=value pairs for each event.
 type report struct {
 	out   io.Writer
 	start time.Time
@@ -23,17 +23,18 @@
 	fmt.Fprintf(r.out, "%7.2fs %-14s %s\n", at.Seconds(), name, fmt.Sprintf(format, args...))
 }
 
-// requests writes what callers met during a phase.
+// requests writes the outcomes and latencies of a phase's requests.
 func (r *report) requests(phase string, s caller.Summary) {
 	total := s.Skipped
 	for _, n := range s.Outcomes {
 		total += n
 	}
 	r.event("requests", "phase=%s sent=%d answered=%d p50=%v p99=%v max=%v refused=%v",
-		phase, total, s.Outcomes[caller.Answered], short(s.P50), short(s.P99), short(s.Max), counts(s.Kinds))
+		phase, total, s.Outcomes[caller.Answered], roundLatency(s.P50), roundLatency(s.P99), roundLatency(s.Max), counts(s.Kinds))
 }
 
-// verdict writes whether a guarantee held, and the first faults found.
+// verdict writes whether a guarantee held, with its first violations, and returns
+// the result.
 func (r *report) verdict(name string, faults []string) bool {
 	const most = 5
 	if len(faults) == 0 {
@@ -47,6 +48,6 @@
 	return false
 }
 
-func short(d time.Duration) time.Duration {
+func roundLatency(d time.Duration) time.Duration {
 	return d.Round(100 * time.Microsecond)
 }
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	writes       = 0.4
-	workTime     = 5 * time.Millisecond
-	slowWork     = 250 * time.Millisecond
-	slowRate     = 80.0
-	requestLimit = 2 * time.Second
+	writeFraction  = 0.4
+	workTime       = 5 * time.Millisecond
+	slowWork       = 250 * time.Millisecond
+	slowRate       = 80.0
+	requestTimeout = 2 * time.Second
 )
 
-// scenario is one run and what is known of it so far.
+// scenario is the state of one run and the results collected so far.
 type scenario struct {
 	site     *site
 	report   *report
@@ -26,21 +26,21 @@
 	rate     float64
 	seed     uint64
 	manifest *manifest.Manifest
-	work     *workload
+	workload *workload
 	revision uint64
 
-	tries    []caller.Try
-	kinds    counts
-	answered int
-	late     []string // urgent tasks that didn't start in time
-	cut      []string // requests that the planned stop cut off
+	tries       []caller.Try
+	kinds       counts
+	answered    int
+	lateUrgent  []string // urgent tasks that didn't start in time
+	cutRequests []string // requests that the planned stop cut off
 }
 
 func newScenario(d *Demo, s *site, r *report) *scenario {
 	return &scenario{site: s, report: r, watch: newWatch(s), rate: d.rate, seed: d.seed, kinds: make(counts)}
 }
 
-// run goes through all phases under load.
+// run executes all phases under load.
 func (s *scenario) run(ctx context.Context) error {
 	watching, stop := context.WithCancel(ctx)
 	var watched sync.WaitGroup
@@ -54,8 +54,8 @@
 	}{
 		{"steady", s.submit, nil},
 		{"reconfigure", s.reconfigure, nil},
-		{"urgent", s.hurry, nil},
-		{"conflict", s.race, nil},
+		{"urgent", s.submitUrgent, nil},
+		{"conflict", s.applyConcurrently, nil},
 		{"outage", s.breakLog, nil},
 		{"kill", s.kill, nil},
 		{"stop", s.stop, []caller.Option{caller.WithRate(slowRate), caller.WithWork(slowWork)}},
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// underLoad runs a step while callers send requests to all instances that
-// run when it begins.
+// underLoad runs a step while callers send requests to all instances that are
+// running at its start.
 func (s *scenario) underLoad(ctx context.Context, phase string, step func(context.Context) error, opts []caller.Option) error {
 	s.seed++
 	all := append([]caller.Option{
 		caller.WithRate(s.rate),
 		caller.WithSeed(s.seed),
-		caller.WithWrites(writes),
+		caller.WithWrites(writeFraction),
 		caller.WithWork(workTime),
-		caller.WithTimeout(requestLimit),
+		caller.WithTimeout(requestTimeout),
 	}, opts...)
-	c, err := caller.New(s.site.callers(), service, all...)
+	c, err := caller.New(s.site.callerAddresses(), service, all...)
 	if err != nil {
 		return err
 	}
@@ -90,16 +90,17 @@
 	go func() { summaries <- c.Run(calling) }()
 	err = step(ctx)
 	stop()
-	s.called(phase, <-summaries)
+	s.recordSummary(phase, <-summaries)
 	return err
 }
 
-func (s *scenario) called(phase string, summary caller.Summary) {
+// recordSummary adds a phase's summary to the results.
+func (s *scenario) recordSummary(phase string, summary caller.Summary) {
 	s.tries = append(s.tries, summary.Tries...)
 	s.kinds.add(summary.Kinds)
 	s.answered += summary.Outcomes[caller.Answered]
 	s.report.requests(phase, summary)
 	if phase == "stop" {
-		s.cut = cutOff(summary.Tries)
+		s.cutRequests = cutOff(summary.Tries)
 	}
 }
--- a/demo/site.go
+++ b/demo/site.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	loopback        = "127.0.0.1:0"
-	workersPerZone  = 4
-	instancePerZone = 2
-	racks           = 2
-	workerSlots     = 8
-	listLag         = 300 * time.Millisecond
-	checkpointEvery = 200 * time.Millisecond
+	loopback           = "127.0.0.1:0"
+	workersPerZone     = 4
+	instancesPerZone   = 2
+	racks              = 2
+	workerSlots        = 8
+	listLag            = 300 * time.Millisecond
+	checkpointInterval = 200 * time.Millisecond
 )
 
-// victim is the instance that is killed.
+// victim is the ID of the instance that is killed.
 const victim = "e-ebene-2"
 
 var (
@@ -36,33 +36,33 @@
 	capacity = resource.Vector{Processors: 8_000, Memory: 16 << 10} // of a worker
 )
 
-// server answers on a listener until its context ends.
+// server serves a listener until its context ends.
 type server interface {
 	Serve(context.Context, net.Listener) error
 }
 
-// site is the platform's stand-ins and the entry instances.
+// site holds the platform's stand-ins and the entry instances.
 type site struct {
 	logger    *zap.Logger
 	log       *logservice.Service
 	logAddr   netip.AddrPort
 	list      *instancelist.List
 	listAddr  netip.AddrPort
-	workers   []*machine
+	workers   []*siteWorker
 	instances []*instance
 
 	cancel context.CancelFunc
 	served sync.WaitGroup
 }
 
-// machine is a worker and where it stands.
-type machine struct {
+// siteWorker is a worker with its ID and zone.
+type siteWorker struct {
 	*worker.Worker
 	id   string
 	zone string
 }
 
-// newSite starts everything.
+// newSite starts the stand-ins and the instances.
 func newSite(ctx context.Context, logger *zap.Logger) (*site, error) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s := &site{
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// serve runs a stand-in on a free port.
+// serve runs a stand-in on a free port and returns its address.
 func (s *site) serve(ctx context.Context, standin server) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -113,11 +113,11 @@
 
 func (s *site) startWorkers(ctx context.Context, zone string) error {
 	for n := range workersPerZone {
-		m := &machine{id: fmt.Sprintf("w-%s-%d", zone, n+1), zone: zone}
+		m := &siteWorker{id: fmt.Sprintf("w-%s-%d", zone, n+1), zone: zone}
 		m.Worker = worker.New(m.id,
 			worker.WithCapacity(capacity),
 			worker.WithSlots(workerSlots),
-			worker.WithCheckpoint(checkpointEvery))
+			worker.WithCheckpoint(checkpointInterval))
 		addr, err := s.serve(ctx, m)
 		if err != nil {
 			return err
@@ -132,21 +132,21 @@
 }
 
 func (s *site) startInstances(zone string) error {
-	for n := range instancePerZone {
+	for n := range instancesPerZone {
 		id := fmt.Sprintf("e-%s-%d", zone, n+1)
 		in, err := startInstance(s, id, zone)
 		if err != nil {
 			return err
 		}
 		s.instances = append(s.instances, in)
-		if err := s.list.Put(in.listed(provider.StatusLive)); err != nil {
+		if err := s.list.Put(in.listEntry(provider.StatusLive)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// close stops what still runs and waits for it.
+// close stops the running instances and the stand-ins, and waits for them.
 func (s *site) close() {
 	for _, in := range s.running() {
 		in.stop()
@@ -158,7 +158,7 @@
 	s.served.Wait()
 }
 
-// running returns the instances that weren't stopped.
+// running returns the instances that haven't been stopped or killed.
 func (s *site) running() []*instance {
 	var running []*instance
 	for _, in := range s.instances {
@@ -169,8 +169,8 @@
 	return running
 }
 
-// find returns the instance called id.
-func (s *site) find(id string) *instance {
+// findInstance returns the instance called id.
+func (s *site) findInstance(id string) *instance {
 	for _, in := range s.instances {
 		if in.id == id {
 			return in
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// first returns a running instance of a zone.
-func (s *site) first(zone string) *instance {
+// firstInstance returns the first running instance of a zone.
+func (s *site) firstInstance(zone string) *instance {
 	for _, in := range s.running() {
 		if in.zone == zone {
 			return in
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// last returns the last running instance of a zone.
-func (s *site) last(zone string) *instance {
+// lastInstance returns the last running instance of a zone.
+func (s *site) lastInstance(zone string) *instance {
 	var last *instance
 	for _, in := range s.running() {
 		if in.zone == zone {
@@ -200,7 +200,7 @@
 	return last
 }
 
-func (s *site) callers() []string {
+func (s *site) callerAddresses() []string {
 	var addresses []string
 	for _, in := range s.running() {
 		addresses = append(addresses, in.addresses.Caller)
@@ -214,7 +214,8 @@
 	return func() { s.log.Set(logservice.Faults{}) }
 }
 
-// ledger returns what ran on all workers of a zone, or on all workers.
+// ledger returns the merged ledgers of all workers of a zone, or of all workers
+// if zone is empty.
 func (s *site) ledger(zone string) worker.Ledger {
 	var ledgers []worker.Ledger
 	for _, m := range s.workers {
--- a/demo/verify.go
+++ b/demo/verify.go
@@ -13,12 +13,12 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-const verifyLimit = time.Second
+const verifyTimeout = time.Second
 
-// verify writes the figures and what became of each guarantee, and returns
-// how many were broken.
+// verify writes the totals and whether each guarantee held, and returns the
+// number of broken guarantees.
 func (s *scenario) verify() int {
-	ctx, cancel := context.WithTimeout(context.Background(), verifyLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), verifyTimeout)
 	defer cancel()
 	ledger := s.site.ledger("")
 	s.totals(ctx, ledger)
@@ -29,14 +29,14 @@
 	}{
 		{"no task ran in two places at once", overlaps(ledger)},
 		{"each task completed once", s.incomplete(ledger)},
-		{"urgent tasks started in time", s.late},
-		{"each attempt ran once, and resumed from a checkpoint of the one before", restarts(ledger)},
-		{"no worker held more than its capacity", s.watch.overfull},
+		{"urgent tasks started in time", s.lateUrgent},
+		{"each attempt ran once, and resumed from a checkpoint of the one before", invalidRestarts(ledger)},
+		{"no worker held more than its capacity", s.watch.overcommits},
 		{"no group held more than its share", s.overShare()},
 		{"answers whole, refusals true, no other request ran twice", caller.Audit(s.tries, ledger.Nonces)},
-		{"the newest configuration is in force everywhere", s.behind(ctx)},
-		{"no instance went back to an older configuration", s.watch.backward},
-		{"the planned stop cut off no request", s.cut},
+		{"the newest configuration is in force everywhere", s.staleInstances(ctx)},
+		{"no instance went back to an older configuration", s.watch.rollbacks},
+		{"the planned stop cut off no request", s.cutRequests},
 	} {
 		if !s.report.verdict(g.name, g.faults) {
 			broken++
@@ -45,10 +45,11 @@
 	return broken
 }
 
-// totals writes the figures of the whole run.
+// totals writes the totals of the whole run, and each group's peak usage and
+// limit.
 func (s *scenario) totals(ctx context.Context, ledger worker.Ledger) {
 	s.report.event("totals", "answered=%d refused=%v tasks=%d completed=%d evictions=%d samples=%d",
-		s.answered, s.kinds, len(s.work.tasks), completions(ledger), s.evictions(ctx), s.watch.samples)
+		s.answered, s.kinds, len(s.workload.tasks), completions(ledger), s.evictions(ctx), s.watch.samples)
 	for _, zone := range zones {
 		peaks := s.peaks(zone)
 		limits := s.manifest.Limits(zone)
@@ -68,12 +69,11 @@
 	return faults
 }
 
-// incomplete returns the tasks that didn't complete exactly once on the
-// workers.
+// incomplete returns the tasks that didn't complete exactly once on the workers.
 func (s *scenario) incomplete(l worker.Ledger) []string {
 	done := completedTasks(l)
 	var faults []string
-	for _, id := range slices.Sorted(maps.Keys(s.work.tasks)) {
+	for _, id := range slices.Sorted(maps.Keys(s.workload.tasks)) {
 		if done[id] != 1 {
 			faults = append(faults, fmt.Sprintf("task=%s completed=%d", id, done[id]))
 		}
@@ -102,9 +102,9 @@
 	return n
 }
 
-// restarts returns runs that repeat an attempt, or start beyond what earlier
-// runs of the task had done.
-func restarts(l worker.Ledger) []string {
+// invalidRestarts returns the runs that repeat an attempt, or that start with more work
+// done than earlier runs of the task had reached.
+func invalidRestarts(l worker.Ledger) []string {
 	var faults []string
 	for _, a := range l.Tasks {
 		var attempt uint32
@@ -123,8 +123,8 @@
 	return faults
 }
 
-// overShare returns the groups whose batch tasks held more at some moment
-// than the share leaves beside the group's services.
+// overShare returns the groups whose batch tasks held more at some time than
+// their limit, which is the group's share less the needs of its services.
 func (s *scenario) overShare() []string {
 	var faults []string
 	for _, zone := range zones {
@@ -138,12 +138,12 @@
 	return faults
 }
 
-// peaks returns the most that each group's batch tasks held of each resource
-// at any moment.
+// peaks returns the maximum of each resource that each group's batch tasks held
+// at any time.
 func (s *scenario) peaks(zone string) map[string]resource.Vector {
 	changes := make(map[string][]change)
 	for _, a := range s.site.ledger(zone).Tasks {
-		t := s.work.tasks[a.Task]
+		t := s.workload.tasks[a.Task]
 		for _, r := range a.Runs {
 			changes[t.Group] = append(changes[t.Group], change{r.Start, t.Need})
 			if !r.End.IsZero() {
@@ -158,13 +158,14 @@
 	return peaks
 }
 
-// change is a task's start, or its end with a negative amount.
+// change is the start of a task, or with a negative amount its end.
 type change struct {
 	at     time.Time
 	amount resource.Vector
 }
 
-// peak returns the largest sum at any moment; ends count before starts.
+// peak returns the maximum sum of the changes at any time, for each resource by
+// itself. At equal times ends count before starts.
 func peak(changes []change) resource.Vector {
 	slices.SortStableFunc(changes, func(a, b change) int {
 		if c := a.at.Compare(b.at); c != 0 {
@@ -182,8 +183,8 @@
 	return most
 }
 
-// behind returns the instances where the newest revision isn't in force.
-func (s *scenario) behind(ctx context.Context) []string {
+// staleInstances returns the running instances where the newest revision isn't in force.
+func (s *scenario) staleInstances(ctx context.Context) []string {
 	var faults []string
 	for _, in := range s.site.running() {
 		status, err := in.operator.status(ctx)
@@ -198,7 +199,8 @@
 	return faults
 }
 
-// cutOff returns the requests that were under way and got no whole answer.
+// cutOff returns the requests that reached an instance and got no whole answer or
+// refusal.
 func cutOff(tries []caller.Try) []string {
 	var faults []string
 	for _, t := range tries {
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	watchInterval = 20 * time.Millisecond
-	statusEvery   = 5 // watch intervals
+	watchInterval  = 20 * time.Millisecond
+	statusInterval = 5 // watch intervals
 )
 
-// watch samples workers and instances all along.
+// watch samples workers and instances during the run, and records violations of
+// guarantees.
 type watch struct {
 	site *site
 
-	mu        sync.Mutex
-	revisions map[string]uint64
-	backward  []string
-	overfull  []string
-	samples   int
+	mu          sync.Mutex
+	revisions   map[string]uint64
+	rollbacks   []string
+	overcommits []string
+	samples     int
 }
 
 func newWatch(s *site) *watch {
@@ -41,14 +42,14 @@
 		case <-ticker.C:
 		}
 		w.sampleWorkers()
-		if n%statusEvery == 0 {
+		if n%statusInterval == 0 {
 			w.sampleInstances(ctx)
 		}
 	}
 }
 
-// sampleWorkers compares what each worker runs with what it holds. A worker's
-// report is taken at one moment.
+// sampleWorkers compares the needs of each worker's running tasks with its
+// capacity. A worker's report is a consistent snapshot.
 func (w *watch) sampleWorkers() {
 	for _, m := range w.site.workers {
 		var sum resource.Vector
@@ -60,7 +61,7 @@
 		w.mu.Lock()
 		w.samples++
 		if !sum.Fits(capacity) {
-			w.overfull = append(w.overfull, fmt.Sprintf("worker=%s runs %v, holds %v", m.id, sum, capacity))
+			w.overcommits = append(w.overcommits, fmt.Sprintf("worker=%s runs %v, holds %v", m.id, sum, capacity))
 		}
 		w.mu.Unlock()
 	}
@@ -70,17 +71,18 @@
 	for _, in := range w.site.running() {
 		s, err := in.operator.status(ctx)
 		if err != nil {
-			continue // stopped meanwhile
+			continue // the instance stopped meanwhile
 		}
-		w.see(in.id, s.Revision)
+		w.checkRevision(in.id, s.Revision)
 	}
 }
 
-func (w *watch) see(id string, revision uint64) {
+// checkRevision records an instance's revision, and a violation if it is older than before.
+func (w *watch) checkRevision(id string, revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if before := w.revisions[id]; revision < before {
-		w.backward = append(w.backward, fmt.Sprintf("instance=%s went from revision %d to %d", id, before, revision))
+		w.rollbacks = append(w.rollbacks, fmt.Sprintf("instance=%s went from revision %d to %d", id, before, revision))
 	}
 	w.revisions[id] = revision
 }
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -11,9 +11,9 @@
 )
 
 //go:embed manifests/*.yaml
-var files embed.FS
+var manifestFiles embed.FS
 
-// service is what the callers ask for.
+// service is the service that the callers use.
 const service = "quote"
 
 // batch is a kind of task that is submitted to every zone.
@@ -32,10 +32,10 @@
 
 var urgentNeed = resource.Vector{Processors: 1_000, Memory: 512}
 
-func read(name string) []byte {
-	data, err := files.ReadFile("manifests/" + name + ".yaml")
+func readManifest(name string) []byte {
+	data, err := manifestFiles.ReadFile("manifests/" + name + ".yaml")
 	if err != nil {
-		panic(err) // it is embedded
+		panic(err) // the manifests are embedded
 	}
 	return data
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// workload is every task that has to complete, by ID, and where.
+// workload holds every task that has to complete and its zone, both by task ID.
 type workload struct {
 	tasks map[string]record.Task
 	zones map[string]string
--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer is the body that stand-in workers answer with. It is made
-// from the request alone, so that a caller can tell whether an answer is
-// whole and belongs to its own request.
+// Package answer builds and checks the bodies of stand-in workers' answers. A
+// body depends on the request alone, so that a caller can check that an answer
+// is complete and belongs to its own request.
 //
 // Usage:
 //
@@ -45,9 +45,8 @@
 	return b.Bytes()
 }
 
-// Check returns nil when body is the whole answer, fault.Truncated when it
-// is the beginning of it, and fault.Internal when it belongs to something
-// else.
+// Check returns nil if body is the whole answer, fault.Truncated if it is a
+// proper prefix of it, and fault.Internal if it belongs to another request.
 func (a Answer) Check(body []byte) error {
 	want := a.Bytes()
 	switch {
--- a/standin/caller/audit.go
+++ b/standin/caller/audit.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// Audit compares what callers were told with how often each nonce ran, taken
-// from all workers together, and returns a line for each promise broken.
+// Audit compares the outcomes reported to callers with how often each nonce ran
+// on all workers together, and returns a line for each violated guarantee.
 func Audit(tries []Try, runs map[string]int) []string {
 	var broken []string
-	sums := make(map[string]int)
+	runsByRequest := make(map[string]int)
 	for _, t := range tries {
 		ran := runs[t.Nonce]
-		sums[t.Request] += ran
+		runsByRequest[t.Request] += ran
 		broken = append(broken, auditTry(t, ran)...)
 	}
 	reported := make(map[string]bool)
 	for _, t := range tries {
-		if t.Idempotent || sums[t.Request] <= 1 || reported[t.Request] {
+		if t.Idempotent || runsByRequest[t.Request] <= 1 || reported[t.Request] {
 			continue
 		}
 		reported[t.Request] = true
-		broken = append(broken, fmt.Sprintf("request=%s ran=%d, not idempotent", t.Request, sums[t.Request]))
+		broken = append(broken, fmt.Sprintf("request=%s ran=%d, not idempotent", t.Request, runsByRequest[t.Request]))
 	}
 	return broken
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,18 +1,19 @@
-// Package caller is a load of requests to entry instances, as the platform's
-// callers make it: open loop, so that a slow answer doesn't hold later
-// requests back.
+// Package caller generates a load of requests to entry instances, in place of
+// the platform's callers. The load is open loop: a slow answer doesn't delay
+// later requests.
 //
 // Usage:
 //
 //	c, err := caller.New([]string{"127.0.0.1:8001"}, "pricing",
 //		caller.WithRate(200), caller.WithWrites(0.3), caller.WithOutput(os.Stdout, time.Second))
-//	summary := c.Run(ctx) // until ctx ends and every answer is in
+//	summary := c.Run(ctx) // returns after ctx ends and every request has ended
 //	faults := caller.Audit(summary.Tries, ledger.Nonces)
 //
-// A request that isn't idempotent is a POST. One that is, is a GET or a POST
-// with an Idempotency-Key. A refusal is sent again after its Retry-After, as
-// far as the tries go, and so is anything idempotent that may have run.
-// Latency counts from when a request was due, over all of its tries.
+// A request that isn't idempotent is a POST; an idempotent one is a GET or a
+// POST with an Idempotency-Key. A refused request is retried after its
+// Retry-After, and an idempotent request that may have run is retried too, both
+// up to the limit of tries. Latency counts from the time that a request was due,
+// over all of its tries.
 package caller
 
 import (
@@ -31,62 +32,62 @@
 
 // Defaults and bounds.
 const (
-	DefaultRate     = 100 // requests per second
-	DefaultTimeout  = 5 * time.Second
-	DefaultTries    = 4
-	DefaultInFlight = 2000
-	MaxTriesKept    = 1_000_000
-	maxRetryAfter   = 10 * time.Second
-	defaultRetry    = 100 * time.Millisecond
-	idleConnections = 64
+	DefaultRate       = 100 // requests per second
+	DefaultTimeout    = 5 * time.Second
+	DefaultTries      = 4
+	DefaultInFlight   = 2000
+	MaxTriesKept      = 1_000_000
+	maxRetryAfter     = 10 * time.Second
+	defaultRetryAfter = 100 * time.Millisecond
+	idleConnections   = 64
 )
 
-// Option changes a Caller.
+// Option configures a Caller.
 type Option func(*Caller)
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Caller makes requests of one service.
+// Caller sends requests to one service.
 type Caller struct {
-	entries  []string
-	service  string
-	rate     float64
-	seed     uint64
-	writes   float64
-	work     time.Duration
-	size     int
-	body     int
-	timeout  time.Duration
-	tries    int
-	inFlight int
-	output   io.Writer
-	interval time.Duration
-	client   *http.Client
-	tally    *tally
-}
-
-// New returns a caller that sends requests of a service to the caller
+	entries        []string
+	service        string
+	rate           float64
+	seed           uint64
+	writeFraction  float64
+	work           time.Duration
+	answerSize     int
+	bodySize       int
+	timeout        time.Duration
+	maxTries       int
+	maxInFlight    int
+	output         io.Writer
+	reportInterval time.Duration
+	client         *http.Client
+	recorder       *recorder
+}
+
+// New returns a Caller that sends requests for a service to the caller
 // listeners of entry instances, host:port each.
 func New(entries []string, service string, opts ...Option) (*Caller, error) {
 	c := &Caller{
-		entries:  entries,
-		service:  service,
-		rate:     DefaultRate,
-		seed:     1,
-		work:     5 * time.Millisecond,
-		timeout:  DefaultTimeout,
-		tries:    DefaultTries,
-		inFlight: DefaultInFlight,
-		output:   io.Discard,
-		interval: time.Second,
-		tally:    newTally(),
+		entries:        entries,
+		service:        service,
+		rate:           DefaultRate,
+		seed:           1,
+		work:           5 * time.Millisecond,
+		timeout:        DefaultTimeout,
+		maxTries:       DefaultTries,
+		maxInFlight:    DefaultInFlight,
+		output:         io.Discard,
+		reportInterval: time.Second,
+		recorder:       newRecorder(),
 	}
 	c.client = newClient((&net.Dialer{Timeout: time.Second}).DialContext)
 	for _, opt := range opts {
 		opt(c)
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -97,14 +98,14 @@
 	return func(c *Caller) { c.rate = perSecond }
 }
 
-// WithSeed sets what all random choices follow from.
+// WithSeed sets the seed of all random choices.
 func WithSeed(seed uint64) Option {
 	return func(c *Caller) { c.seed = seed }
 }
 
-// WithWrites sets the part of requests that are not idempotent, 0 to 1.
+// WithWrites sets the fraction of requests that are not idempotent, 0 to 1.
 func WithWrites(part float64) Option {
-	return func(c *Caller) { c.writes = part }
+	return func(c *Caller) { c.writeFraction = part }
 }
 
 // WithWork sets how long each request takes in a worker's slot.
@@ -112,9 +113,10 @@
 	return func(c *Caller) { c.work = d }
 }
 
-// WithSize sets the bytes of a request's body and of an answer's filler.
+// WithSize sets the sizes in bytes of a request's body and of an answer's
+// filler.
 func WithSize(request, answer int) Option {
-	return func(c *Caller) { c.body, c.size = request, answer }
+	return func(c *Caller) { c.bodySize, c.answerSize = request, answer }
 }
 
 // WithTimeout bounds each try of a request.
@@ -122,29 +124,29 @@
 	return func(c *Caller) { c.timeout = d }
 }
 
-// WithTries sets how often a request is sent at most.
+// WithTries bounds how often a request is sent.
 func WithTries(n int) Option {
-	return func(c *Caller) { c.tries = n }
+	return func(c *Caller) { c.maxTries = n }
 }
 
-// WithInFlight bounds requests under way; what is due beyond it is skipped
-// and counted.
+// WithInFlight bounds requests in flight; requests that are due beyond it are
+// skipped and counted.
 func WithInFlight(n int) Option {
-	return func(c *Caller) { c.inFlight = n }
+	return func(c *Caller) { c.maxInFlight = n }
 }
 
-// WithOutput writes a line of key=value pairs every interval.
+// WithOutput sets the writer that gets a line of key=value pairs every interval.
 func WithOutput(w io.Writer, interval time.Duration) Option {
-	return func(c *Caller) { c.output, c.interval = w, interval }
+	return func(c *Caller) { c.output, c.reportInterval = w, interval }
 }
 
-// WithDial replaces how connections are opened, for tests in memory.
+// WithDial sets the function that opens connections, for tests in memory.
 func WithDial(dial DialFunc) Option {
 	return func(c *Caller) { c.client = newClient(dial) }
 }
 
-// Run makes requests until ctx ends, waits for those under way, and returns
-// what came of them.
+// Run sends requests until ctx ends, waits for those in flight, and returns the
+// summary of their outcomes.
 func (c *Caller) Run(ctx context.Context) Summary {
 	start := time.Now()
 	reported := make(chan struct{})
@@ -157,35 +159,35 @@
 	cancel()
 	<-reported
 	c.client.CloseIdleConnections()
-	summary := c.tally.summary(time.Since(start))
+	summary := c.recorder.summary(time.Since(start))
 	fmt.Fprintln(c.output, summary)
 	return summary
 }
 
-func (c *Caller) check() error {
+func (c *Caller) validate() error {
 	switch {
 	case len(c.entries) == 0:
 		return fault.New(fault.Invalid, "no entry instances")
 	case c.rate <= 0:
 		return fault.New(fault.Invalid, "rate %v", c.rate)
-	case c.writes < 0 || c.writes > 1:
-		return fault.New(fault.Invalid, "part of writes %v", c.writes)
-	case min(c.body, c.size) < 0 || max(c.body, c.size) > answer.MaxSize:
-		return fault.New(fault.Invalid, "sizes %d and %d", c.body, c.size)
-	case c.tries < 1 || c.inFlight < 1 || c.interval <= 0 || c.timeout <= 0 || c.work < 0:
+	case c.writeFraction < 0 || c.writeFraction > 1:
+		return fault.New(fault.Invalid, "part of writes %v", c.writeFraction)
+	case min(c.bodySize, c.answerSize) < 0 || max(c.bodySize, c.answerSize) > answer.MaxSize:
+		return fault.New(fault.Invalid, "sizes %d and %d", c.bodySize, c.answerSize)
+	case c.maxTries < 1 || c.maxInFlight < 1 || c.reportInterval <= 0 || c.timeout <= 0 || c.work < 0:
 		return fault.New(fault.Invalid, "tries, requests in flight, interval, timeout or work out of range")
 	default:
 		return nil
 	}
 }
 
-// generate sends requests at random times, the rate on average, and returns
-// when all have ended.
+// generate sends requests with exponentially distributed gaps, at the rate on
+// average, and returns when all have ended.
 func (c *Caller) generate(ctx context.Context, start time.Time) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	random := rand.New(rand.NewPCG(c.seed, c.seed))
-	slots := make(chan struct{}, c.inFlight)
+	slots := make(chan struct{}, c.maxInFlight)
 	due := start
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(random.ExpFloat64() / c.rate * float64(time.Second)))
@@ -196,25 +198,25 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			c.tally.skip()
+			c.recorder.countSkipped()
 			continue
 		}
 		requests.Go(func() {
-			c.carry(r)
+			c.sendWithRetries(r)
 			<-slots
 		})
 	}
 }
 
 func (c *Caller) report(ctx context.Context, start time.Time) {
-	ticker := time.NewTicker(c.interval)
+	ticker := time.NewTicker(c.reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			fmt.Fprintln(c.output, c.tally.interval(now.Sub(start)))
+			fmt.Fprintln(c.output, c.recorder.intervalLine(now.Sub(start)))
 		}
 	}
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -22,8 +22,8 @@
 
 const runTime = 5 * time.Second
 
-// entry is an entry instance that does nothing but send a request on to one
-// worker, after what before does.
+// entry is an entry instance that forwards each request to one worker. before,
+// if set, runs first and may answer the request itself.
 type entry struct {
 	worker *worker.Worker
 	before func(w http.ResponseWriter, r *http.Request) (done bool)
@@ -37,8 +37,8 @@
 	e.worker.ServeHTTP(w, r)
 }
 
-// run puts a load on an entry instance in virtual time.
-func run(t *testing.T, f worker.Faults, slots int, before func(w *worker.Worker) func(http.ResponseWriter, *http.Request) bool) (caller.Summary, worker.Ledger, string) {
+// runLoad sends load to an entry instance in virtual time.
+func runLoad(t *testing.T, f worker.Faults, slots int, before func(w *worker.Worker) func(http.ResponseWriter, *http.Request) bool) (caller.Summary, worker.Ledger, string) {
 	var summary caller.Summary
 	var ledger worker.Ledger
 	var output bytes.Buffer
@@ -77,39 +77,36 @@
 
 func TestRun(t *testing.T) {
 	is := is.New(t)
-	summary, ledger, output := run(t, worker.Faults{}, 8, nil)
+	summary, ledger, output := runLoad(t, worker.Faults{}, 8, nil)
 	is.True(summary.Outcomes[caller.Answered] > 200)
-	is.Equal(len(summary.Outcomes), 1)                                // nothing but answers
-	is.Equal(summary.P99.Round(time.Millisecond), 5*time.Millisecond) // the work, nothing else takes virtual time
+	is.Equal(len(summary.Outcomes), 1)                                // only answers
+	is.Equal(summary.P99.Round(time.Millisecond), 5*time.Millisecond) // only the work takes virtual time
 	is.Equal(caller.Audit(summary.Tries, ledger.Nonces), nil)
 	is.Equal(strings.Count(output, "event=interval"), 5)
 	is.Equal(strings.Count(output, "event=summary"), 1)
 }
 
-// Symptom: the check of a run finds faults that aren't there, or none where
-// a non-idempotent request was sent again.
-// Sequence: answers are lost after the work ran; others are refused for want
-// of a slot.
-// Cause: the caller repeats what may have run, or doesn't come back after a
-// refusal.
+// TestRetries loses answers after the work ran, and refuses requests for lack
+// of a slot. It guards against a caller that repeats a non-idempotent request
+// that may have run, or that doesn't retry a refused one, which would make the
+// audit report false violations or miss real ones.
 func TestRetries(t *testing.T) {
 	is := is.New(t)
 	lost := worker.Faults{Common: faults.Common{Lose: 0.2}}
-	summary, ledger, _ := run(t, lost, 8, nil)
+	summary, ledger, _ := runLoad(t, lost, 8, nil)
 	is.True(summary.Outcomes[caller.MayHaveRun] > 10)
 	is.True(len(summary.Tries) > summary.Outcomes[caller.Answered]+summary.Outcomes[caller.MayHaveRun]) // the idempotent ones
 	is.Equal(caller.Audit(summary.Tries, ledger.Nonces), nil)
 
-	summary, ledger, _ = run(t, worker.Faults{}, 1, nil)
+	summary, ledger, _ = runLoad(t, worker.Faults{}, 1, nil)
 	is.True(summary.Kinds["Overloaded"] > 10)
 	is.True(summary.Outcomes[caller.Refused] < summary.Kinds["Overloaded"]/2)
 	is.Equal(caller.Audit(summary.Tries, ledger.Nonces), nil)
 }
 
-// Symptom: the check of a run passes although the scheduler broke a promise.
-// Sequence: an entry instance says "not run" of what ran, sends a write twice,
-// or answers with another request's body.
-// Cause: the caller doesn't compare what it was told with what ran.
+// TestAuditFinds checks that the audit detects an entry instance that reports
+// "not run" for a request that ran, sends a write twice, or answers with another
+// request's body.
 func TestAuditFinds(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -118,7 +115,7 @@
 	}{
 		{"false refusal", "told not run", func(w *worker.Worker) func(http.ResponseWriter, *http.Request) bool {
 			return func(rw http.ResponseWriter, r *http.Request) bool {
-				w.ServeHTTP(discard{}, r)
+				w.ServeHTTP(discardWriter{}, r)
 				wire.Refuse(rw, fault.New(fault.Overloaded, "a lie"))
 				return true
 			}
@@ -127,7 +124,7 @@
 			return func(_ http.ResponseWriter, r *http.Request) bool {
 				again := r.Clone(r.Context())
 				again.Body = http.NoBody
-				w.ServeHTTP(discard{}, again)
+				w.ServeHTTP(discardWriter{}, again)
 				return false
 			}
 		}},
@@ -141,7 +138,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			summary, ledger, _ := run(t, worker.Faults{}, 8, tt.before)
+			summary, ledger, _ := runLoad(t, worker.Faults{}, 8, tt.before)
 			broken := caller.Audit(summary.Tries, ledger.Nonces)
 			is.True(len(broken) > 50)
 			is.True(strings.Contains(strings.Join(broken, "\n"), tt.want))
@@ -149,8 +146,8 @@
 	}
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return make(http.Header) }
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return make(http.Header) }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) WriteHeader(int)             {}
--- a/standin/caller/outcome.go
+++ b/standin/caller/outcome.go
@@ -11,9 +11,9 @@
 const (
 	Answered   Outcome = iota // the whole answer to this request
 	Failed                    // a whole answer to this request, with an error status
-	Refused                   // told that it did not run
+	Refused                   // an error that states that the request did not run
 	Unsent                    // no entry instance could be reached
-	MayHaveRun                // told so, or no answer came
+	MayHaveRun                // an error that leaves open whether it ran, or no answer
 	Truncated                 // the answer ended early
 	Foreign                   // the answer belongs to another request
 	outcomes
--- a/standin/caller/recorder.go
+++ b/standin/caller/recorder.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	shortest = 1         // µs
-	longest  = 600 * 1e6 // µs
-	figures  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 600 * 1e6
+	significantDigits = 3
 )
 
 // Try is one send of a request.
@@ -25,18 +25,18 @@
 	Outcome    Outcome
 }
 
-// Summary is what came of a run.
+// Summary holds the outcomes and latencies of a run.
 type Summary struct {
-	Elapsed  time.Duration
-	Outcomes map[Outcome]int // requests by final outcome
-	Kinds    map[string]int  // tries by the fault they were answered with
-	Skipped  int             // due, but too many were under way
-	P50      time.Duration
-	P99      time.Duration
-	P999     time.Duration
-	Max      time.Duration
-	Tries    []Try // the first MaxTriesKept
-	Unkept   int   // tries beyond
+	Elapsed      time.Duration
+	Outcomes     map[Outcome]int // requests by final outcome
+	Kinds        map[string]int  // tries by the fault or error status of their answer
+	Skipped      int             // requests due while too many were in flight
+	P50          time.Duration
+	P99          time.Duration
+	P999         time.Duration
+	Max          time.Duration
+	Tries        []Try // the first MaxTriesKept
+	TriesDropped int   // tries beyond MaxTriesKept
 }
 
 // String returns the summary as key=value pairs.
@@ -53,85 +53,85 @@
 	return b.String()
 }
 
-// tally counts outcomes; latencies are those of whole answers.
-type tally struct {
-	mu       sync.Mutex
-	outcomes map[Outcome]int
-	kinds    map[string]int
-	skipped  int
-	tries    []Try
-	unkept   int
-	total    *hdrhistogram.Histogram
-	recent   *hdrhistogram.Histogram
-	ended    int // in the present interval
+// recorder counts outcomes, and records the latencies of whole answers.
+type recorder struct {
+	mu            sync.Mutex
+	outcomes      map[Outcome]int
+	kinds         map[string]int
+	skipped       int
+	tries         []Try
+	triesDropped  int
+	total         *hdrhistogram.Histogram
+	recent        *hdrhistogram.Histogram
+	intervalEnded int // requests in the current interval
 }
 
-func newTally() *tally {
-	return &tally{
+func newRecorder() *recorder {
+	return &recorder{
 		outcomes: make(map[Outcome]int),
 		kinds:    make(map[string]int),
-		total:    hdrhistogram.New(shortest, longest, figures),
-		recent:   hdrhistogram.New(shortest, longest, figures),
+		total:    hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+		recent:   hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 }
 
-func (t *tally) skip() {
+func (t *recorder) countSkipped() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.skipped++
 }
 
-func (t *tally) try(try Try, kind string) {
+func (t *recorder) recordTry(try Try, kind string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if kind != "" {
 		t.kinds[kind]++
 	}
 	if len(t.tries) >= MaxTriesKept {
-		t.unkept++
+		t.triesDropped++
 		return
 	}
 	t.tries = append(t.tries, try)
 }
 
-func (t *tally) end(o Outcome, latency time.Duration) {
+func (t *recorder) recordEnd(o Outcome, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outcomes[o]++
-	t.ended++
+	t.intervalEnded++
 	if o != Answered {
 		return
 	}
-	micros := min(latency.Microseconds(), longest)
+	micros := min(latency.Microseconds(), maxLatencyMicros)
 	_ = t.total.RecordValue(micros) // within range
 	_ = t.recent.RecordValue(micros)
 }
 
-func (t *tally) interval(at time.Duration) string {
+func (t *recorder) intervalLine(at time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	line := fmt.Sprintf("event=interval at=%v ended=%d answered=%d p50=%v p99=%v max=%v",
-		at.Round(time.Millisecond), t.ended, t.recent.TotalCount(),
+		at.Round(time.Millisecond), t.intervalEnded, t.recent.TotalCount(),
 		quantile(t.recent, 50), quantile(t.recent, 99), quantile(t.recent, 100))
 	t.recent.Reset()
-	t.ended = 0
+	t.intervalEnded = 0
 	return line
 }
 
-func (t *tally) summary(elapsed time.Duration) Summary {
+func (t *recorder) summary(elapsed time.Duration) Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Summary{
-		Elapsed:  elapsed,
-		Outcomes: maps.Clone(t.outcomes),
-		Kinds:    maps.Clone(t.kinds),
-		Skipped:  t.skipped,
-		P50:      quantile(t.total, 50),
-		P99:      quantile(t.total, 99),
-		P999:     quantile(t.total, 99.9),
-		Max:      quantile(t.total, 100),
-		Tries:    slices.Clone(t.tries),
-		Unkept:   t.unkept,
+		Elapsed:      elapsed,
+		Outcomes:     maps.Clone(t.outcomes),
+		Kinds:        maps.Clone(t.kinds),
+		Skipped:      t.skipped,
+		P50:          quantile(t.total, 50),
+		P99:          quantile(t.total, 99),
+		P999:         quantile(t.total, 99.9),
+		Max:          quantile(t.total, 100),
+		Tries:        slices.Clone(t.tries),
+		TriesDropped: t.triesDropped,
 	}
 }
 
--- a/standin/caller/request.go
+++ b/standin/caller/request.go
@@ -18,31 +18,31 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/answer"
 )
 
-// request is one thing a caller wants, over all of its tries.
+// request is one request over all of its tries.
 type request struct {
-	id     string
-	due    time.Time
-	method string
-	key    string
-	body   []byte
-	first  int // index of the entry instance for the first try
+	id         string
+	due        time.Time
+	method     string
+	key        string
+	body       []byte
+	firstEntry int // index of the entry instance for the first try
 }
 
-// result is what came of one try.
+// result is the outcome of one try.
 type result struct {
-	outcome Outcome
-	kind    string // name of the fault, if the answer gave one
-	after   time.Duration
+	outcome    Outcome
+	kind       string // name of the fault or the status, if the answer gave one
+	retryAfter time.Duration
 }
 
-// retryable reports whether a request that ended so may be sent again. A
-// refusal that gives no time to come back is final.
+// retryable reports whether a request with this result may be sent again. A
+// refusal without a Retry-After is final.
 func (r result) retryable(idempotent bool) bool {
 	switch r.outcome {
 	case Unsent:
 		return true
 	case Refused:
-		return r.after > 0
+		return r.retryAfter > 0
 	case MayHaveRun, Truncated:
 		return idempotent
 	default:
@@ -56,12 +56,12 @@
 
 func (c *Caller) newRequest(n int, due time.Time, random *rand.Rand) request {
 	r := request{
-		id:     fmt.Sprintf("c%d-%d", c.seed, n),
-		due:    due,
-		method: http.MethodPost,
-		first:  random.IntN(len(c.entries)),
+		id:         fmt.Sprintf("c%d-%d", c.seed, n),
+		due:        due,
+		method:     http.MethodPost,
+		firstEntry: random.IntN(len(c.entries)),
 	}
-	write := random.Float64() < c.writes
+	write := random.Float64() < c.writeFraction
 	keyed := random.IntN(2) == 0
 	switch {
 	case write:
@@ -71,23 +71,23 @@
 		r.method = http.MethodGet
 		return r
 	}
-	r.body = bytes.Repeat([]byte(r.id), c.body/len(r.id)+1)[:c.body]
+	r.body = bytes.Repeat([]byte(r.id), c.bodySize/len(r.id)+1)[:c.bodySize]
 	return r
 }
 
-// carry sends a request until it has an outcome that stays.
-func (c *Caller) carry(r request) {
+// sendWithRetries sends a request until its outcome is final or its tries are used up.
+func (c *Caller) sendWithRetries(r request) {
 	var last result
-	for try := range c.tries {
+	for try := range c.maxTries {
 		nonce := r.id + "-" + strconv.Itoa(try)
-		last = c.send(r, nonce, c.entries[(r.first+try)%len(c.entries)])
-		c.tally.try(Try{Request: r.id, Nonce: nonce, Idempotent: r.idempotent(), Outcome: last.outcome}, last.kind)
-		if !last.retryable(r.idempotent()) || try == c.tries-1 {
+		last = c.send(r, nonce, c.entries[(r.firstEntry+try)%len(c.entries)])
+		c.recorder.recordTry(Try{Request: r.id, Nonce: nonce, Idempotent: r.idempotent(), Outcome: last.outcome}, last.kind)
+		if !last.retryable(r.idempotent()) || try == c.maxTries-1 {
 			break
 		}
-		time.Sleep(min(max(last.after, defaultRetry), maxRetryAfter))
+		time.Sleep(min(max(last.retryAfter, defaultRetryAfter), maxRetryAfter))
 	}
-	c.tally.end(last.outcome, time.Since(r.due))
+	c.recorder.recordEnd(last.outcome, time.Since(r.due))
 }
 
 func (c *Caller) send(r request, nonce, entry string) result {
@@ -105,11 +105,11 @@
 		return result{outcome: MayHaveRun}
 	}
 	defer response.Body.Close()
-	expected := answer.Answer{Nonce: nonce, Request: answer.Sum(r.body), Size: c.size}
-	got := judge(response, expected)
-	// The transport repeats an idempotent request by itself when a kept
-	// connection breaks; one would notice a refusal of the second send that
-	// the audit takes for one of the first. So it counts as one that may have run.
+	expected := answer.Answer{Nonce: nonce, Request: answer.Sum(r.body), Size: c.answerSize}
+	got := classifyAnswer(response, expected)
+	// The transport repeats an idempotent request by itself when a reused
+	// connection breaks. A refusal of the second send says nothing about the
+	// first one, so the request counts as one that may have run.
 	if got.outcome == Refused && connections.Load() > 1 {
 		got.outcome = MayHaveRun
 	}
@@ -117,7 +117,7 @@
 }
 
 func (c *Caller) httpRequest(ctx context.Context, r request, nonce, entry string) *http.Request {
-	query := url.Values{"nonce": {nonce}, "work": {c.work.String()}, "size": {strconv.Itoa(c.size)}}
+	query := url.Values{"nonce": {nonce}, "work": {c.work.String()}, "size": {strconv.Itoa(c.answerSize)}}
 	target := url.URL{Scheme: "http", Host: entry, Path: wire.PathServices + c.service + "/run", RawQuery: query.Encode()}
 	request := &http.Request{
 		Method:        r.method,
@@ -135,19 +135,19 @@
 	return request.WithContext(ctx)
 }
 
-// judge tells what an answer means. An answer without the fault header comes
-// from the service itself.
-func judge(response *http.Response, expected answer.Answer) result {
+// classifyAnswer determines the outcome of an answer. An answer without the fault header
+// comes from the service itself.
+func classifyAnswer(response *http.Response, expected answer.Answer) result {
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(len(expected.Bytes()))+wire.MaxRefusal))
 	if name := response.Header.Get(wire.HeaderFault); name != "" {
-		return refusal(name, response.Header)
+		return refusalResult(name, response.Header)
 	}
 	check := expected.Check(body)
 	switch {
 	case err != nil:
 		return result{outcome: Truncated}
 	case response.StatusCode/100 != 2:
-		return failure(response.StatusCode, check)
+		return errorStatusResult(response.StatusCode, check)
 	case check == nil:
 		return result{outcome: Answered}
 	case fault.Is(check, fault.Truncated):
@@ -157,16 +157,16 @@
 	}
 }
 
-// failure is a status of the service itself, or of something unknown in
-// between.
-func failure(status int, check error) result {
+// errorStatusResult returns the result for an error status of the service itself, or, if
+// the body isn't the expected answer, of an unknown intermediary.
+func errorStatusResult(status int, check error) result {
 	if check == nil {
 		return result{outcome: Failed, kind: strconv.Itoa(status)}
 	}
 	return result{outcome: MayHaveRun, kind: strconv.Itoa(status)}
 }
 
-func refusal(name string, header http.Header) result {
+func refusalResult(name string, header http.Header) result {
 	kind, ok := wire.ParseKind(name)
 	if !ok {
 		return result{outcome: MayHaveRun, kind: "unknown"}
@@ -175,5 +175,5 @@
 	if err != nil {
 		seconds = 0
 	}
-	return result{outcome: outcomeOf(kind), kind: name, after: time.Duration(seconds) * time.Second}
+	return result{outcome: outcomeOf(kind), kind: name, retryAfter: time.Duration(seconds) * time.Second}
 }
--- a/standin/faults/faults.go
+++ b/standin/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults lets a stand-in of the platform misbehave on purpose, by
-// option or at run time with PUT /faults.
+// Package faults injects faults into a stand-in of the platform, from the start
+// or at run time with PUT /faults.
 //
 // Usage:
 //
@@ -14,8 +14,8 @@
 //
 //	curl -X PUT -d '{"slow":"2s","lose":0.1}' http://127.0.0.1:7001/faults
 //
-// A PUT replaces all faults; {} ends them, but for connections that went
-// silent and a process that died, which stay so.
+// A PUT replaces all faults; {} ends them, except that silent connections stay
+// silent and a dead process stays dead.
 package faults
 
 import (
@@ -24,22 +24,22 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// MaxDuration bounds every time in a fault.
+// MaxDuration bounds every duration in a fault.
 const MaxDuration = 10 * time.Minute
 
 // Common are the faults of every stand-in.
 type Common struct {
-	Down   bool     `json:"down,omitempty"`   // refuses everything
-	Slow   Duration `json:"slow,omitempty"`   // waits before each request; one whose sender left by then has no effect
-	Late   Duration `json:"late,omitempty"`   // waits before each request with an effect, and carries it out even if its sender left
-	Pause  Duration `json:"pause,omitempty"`  // holds requests for so long from now, then carries them all out
-	Lose   float64  `json:"lose,omitempty"`   // part of requests that are carried out and whose connection is cut before the answer
-	Silent bool     `json:"silent,omitempty"` // connections open now never carry anything again; new ones work
-	Dead   bool     `json:"dead,omitempty"`   // the process ends: connections are cut, new ones refused
+	Down   bool     `json:"down,omitempty"`   // refuses all requests
+	Slow   Duration `json:"slow,omitempty"`   // delays each request; one whose sender disconnects meanwhile has no effect
+	Late   Duration `json:"late,omitempty"`   // delays each request other than GET, and executes it even if its sender disconnects
+	Pause  Duration `json:"pause,omitempty"`  // holds all requests for this long from now, then executes them
+	Lose   float64  `json:"lose,omitempty"`   // fraction of requests that are executed and whose connection is cut before the answer
+	Silent bool     `json:"silent,omitempty"` // open connections carry no data any more; new ones work
+	Dead   bool     `json:"dead,omitempty"`   // the process ends: connections are cut, new ones are refused
 }
 
-// Set is a stand-in's own faults, which embed Common.
-type Set interface {
+// FaultSet is the constraint on a stand-in's faults, which embed Common.
+type FaultSet interface {
 	Shared() Common
 }
 
@@ -48,7 +48,7 @@
 	return c
 }
 
-func (c Common) check() error {
+func (c Common) validate() error {
 	for _, d := range []Duration{c.Slow, c.Late, c.Pause} {
 		if d < 0 || time.Duration(d) > MaxDuration {
 			return fault.New(fault.Invalid, "time %v outside 0 to %v", time.Duration(d), MaxDuration)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Duration is a time.Duration that is written like "1.5s" in JSON.
+// Duration is a time.Duration that is encoded as text such as "1.5s" in JSON.
 type Duration time.Duration
 
 // MarshalText returns d as text.
--- a/standin/faults/handler.go
+++ b/standin/faults/handler.go
@@ -14,12 +14,13 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// Wrap returns next with the common faults before it, and /faults beside it.
-// Requests to the exempt paths meet no fault.
+// Wrap returns a handler that serves /faults and applies the common faults to
+// all other requests before it passes them to next. Requests to the exempt paths
+// are passed on without faults.
 func (i *Injector[F]) Wrap(next http.Handler, exempt ...string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case r.URL.Path == path:
+		case r.URL.Path == faultsPath:
 			i.serveFaults(w, r)
 		case slices.Contains(exempt, r.URL.Path):
 			next.ServeHTTP(w, r)
@@ -43,21 +44,22 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if i.loses(common.Lose) {
+	if i.drawsLoss(common.Lose) {
 		next.ServeHTTP(&discard{header: make(http.Header)}, r)
 		panic(http.ErrAbortHandler)
 	}
 	next.ServeHTTP(w, r)
 }
 
-// delay waits as the faults say, and returns the request to carry out then.
+// delay waits for the times that the faults set, and returns the request to
+// execute afterwards.
 func (i *Injector[F]) delay(r *http.Request, common Common) (*http.Request, error) {
 	if common.Slow > 0 {
 		if err := sleep(r.Context(), time.Duration(common.Slow)); err != nil {
 			return nil, err
 		}
 	}
-	wait := max(i.pauseLeft(), 0)
+	wait := max(i.remainingPause(), 0)
 	if r.Method != http.MethodGet {
 		wait += time.Duration(common.Late)
 	}
@@ -67,12 +69,12 @@
 	if err := sleep(serverContext(r), wait); err != nil {
 		return nil, err
 	}
-	return r.WithContext(context.WithoutCancel(r.Context())), nil // its sender can't take it back by leaving
+	return r.WithContext(context.WithoutCancel(r.Context())), nil // executed even if the sender has disconnected
 }
 
-// readBody reads the request's body whole. The server notices that a sender
-// has left only after that, so it comes before any wait; without it a slow
-// stand-in would carry out what nobody waits for.
+// readBody reads the whole body of the request before any delay. net/http
+// detects a disconnected sender only after the body is read; otherwise a slow
+// stand-in would execute requests whose senders have given up.
 func readBody(w http.ResponseWriter, r *http.Request) error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxAppend))
 	if err != nil {
@@ -93,7 +95,7 @@
 	}
 }
 
-func decode[F Set](body io.Reader) (F, error) {
+func decode[F FaultSet](body io.Reader) (F, error) {
 	var f F
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -103,10 +105,10 @@
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return f, fault.New(fault.Invalid, "faults: more than one value")
 	}
-	return f, f.Shared().check()
+	return f, f.Shared().validate()
 }
 
-// discard is a ResponseWriter that loses everything.
+// discard is a ResponseWriter that discards the response.
 type discard struct {
 	header http.Header
 }
--- a/standin/faults/injector.go
+++ b/standin/faults/injector.go
@@ -13,93 +13,94 @@
 )
 
 const (
-	path    = "/faults"
-	maxBody = 64 << 10
-	seed    = 1
+	faultsPath = "/faults"
+	maxBody    = 64 << 10
+	randomSeed = 1
 )
 
-// Injector holds the faults in force and applies the common ones.
-type Injector[F Set] struct {
+// Injector holds the active faults and applies the common ones.
+type Injector[F FaultSet] struct {
 	now      func() time.Time
 	onChange func(F)
 	dead     chan struct{}
 
-	mu      sync.Mutex
-	current F
-	resume  time.Time // end of a pause
-	random  *rand.Rand
-	open    map[*conn]bool
+	mu          sync.Mutex
+	current     F
+	pausedUntil time.Time
+	random      *rand.Rand
+	conns       map[*conn]bool
 }
 
-// New returns an injector with initial faults. The time source now times
-// pauses.
-func New[F Set](initial F, now func() time.Time) *Injector[F] {
+// New returns an Injector with initial faults. Pauses are timed by the time
+// source now.
+func New[F FaultSet](initial F, now func() time.Time) *Injector[F] {
 	i := &Injector[F]{
 		now:    now,
 		dead:   make(chan struct{}),
-		random: rand.New(rand.NewPCG(seed, seed)),
-		open:   make(map[*conn]bool),
+		random: rand.New(rand.NewPCG(randomSeed, randomSeed)),
+		conns:  make(map[*conn]bool),
 	}
 	i.Set(initial)
 	return i
 }
 
-// OnChange calls f with each new set of faults.
+// OnChange sets the function that is called with each new set of faults.
 func (i *Injector[F]) OnChange(f func(F)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.onChange = f
 }
 
-// Get returns the faults in force.
+// Get returns the active faults.
 func (i *Injector[F]) Get() F {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current
 }
 
-// Set puts faults in force.
+// Set replaces the active faults.
 func (i *Injector[F]) Set(f F) {
 	i.set(f, nil)
 }
 
-// Dead is closed once the fault of that name was set.
+// Dead returns a channel that is closed once the fault "dead" was set.
 func (i *Injector[F]) Dead() <-chan struct{} {
 	return i.dead
 }
 
-// set puts f in force and tells the stand-in, outside the lock so that it may
-// ask for the faults again.
-func (i *Injector[F]) set(f F, asker net.Conn) {
-	if onChange := i.replace(f, asker); onChange != nil {
+// set replaces the active faults and calls the OnChange function, outside the
+// lock so that it may call Get. If f makes connections silent, the connection
+// requester, which carries the PUT, stays open.
+func (i *Injector[F]) set(f F, requester net.Conn) {
+	if onChange := i.replace(f, requester); onChange != nil {
 		onChange(f)
 	}
 }
 
-func (i *Injector[F]) replace(f F, asker net.Conn) func(F) {
+func (i *Injector[F]) replace(f F, requester net.Conn) func(F) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.current = f
 	common := f.Shared()
-	i.resume = i.now().Add(time.Duration(common.Pause))
+	i.pausedUntil = i.now().Add(time.Duration(common.Pause))
 	if common.Silent {
-		i.silence(asker)
+		i.silenceConns(requester)
 	}
 	if common.Dead {
-		i.die()
+		i.markDead()
 	}
 	return i.onChange
 }
 
-func (i *Injector[F]) silence(asker net.Conn) {
-	for c := range i.open {
-		if net.Conn(c) != asker {
+func (i *Injector[F]) silenceConns(requester net.Conn) {
+	for c := range i.conns {
+		if net.Conn(c) != requester {
 			c.silent.Store(true)
 		}
 	}
 }
 
-func (i *Injector[F]) die() {
+func (i *Injector[F]) markDead() {
 	select {
 	case <-i.dead:
 	default:
@@ -107,13 +108,13 @@
 	}
 }
 
-func (i *Injector[F]) pauseLeft() time.Duration {
+func (i *Injector[F]) remainingPause() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.resume.Sub(i.now())
+	return i.pausedUntil.Sub(i.now())
 }
 
-func (i *Injector[F]) loses(part float64) bool {
+func (i *Injector[F]) drawsLoss(part float64) bool {
 	if part <= 0 {
 		return false
 	}
@@ -122,7 +123,7 @@
 	return i.random.Float64() < part
 }
 
-// serveFaults answers GET and PUT of the faults themselves.
+// serveFaults handles GET and PUT of /faults.
 func (i *Injector[F]) serveFaults(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -138,5 +139,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeJSON)
-	_ = json.NewEncoder(w).Encode(i.Get()) // the reader may have gone
+	_ = json.NewEncoder(w).Encode(i.Get()) // fails if the reader has disconnected
 }
--- a/standin/faults/serve.go
+++ b/standin/faults/serve.go
@@ -14,7 +14,7 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// ErrDead is returned by Serve after the fault of that name was set.
+// ErrDead is returned by Serve after the fault "dead" was set.
 var ErrDead = errors.New("stand-in died")
 
 type (
@@ -22,7 +22,7 @@
 	serverKey struct{}
 )
 
-// Serve answers requests on l until ctx ends or the process dies.
+// Serve serves requests on l until ctx ends or the fault "dead" is set.
 func (i *Injector[F]) Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -40,9 +40,9 @@
 		case <-ctx.Done():
 		case <-i.dead:
 		}
-		_ = server.Close() // nothing to do about a listener that won't close
+		_ = server.Close() // a listener that fails to close can't be handled here
 	}()
-	err := server.Serve(&listener{Listener: l, add: i.add})
+	err := server.Serve(&listener{Listener: l, wrapConn: i.wrapConn})
 	cancel()
 	<-closed
 	select {
@@ -56,22 +56,22 @@
 	return err
 }
 
-func (i *Injector[F]) add(c net.Conn) net.Conn {
+func (i *Injector[F]) wrapConn(c net.Conn) net.Conn {
 	wrapped := &conn{Conn: c}
-	wrapped.forget = func() {
+	wrapped.onClose = func() {
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		delete(i.open, wrapped)
+		delete(i.conns, wrapped)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.open[wrapped] = true
+	i.conns[wrapped] = true
 	return wrapped
 }
 
 type listener struct {
 	net.Listener
-	add func(net.Conn) net.Conn
+	wrapConn func(net.Conn) net.Conn
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -79,15 +79,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.add(c), nil
+	return l.wrapConn(c), nil
 }
 
-// conn is a connection that can go silent: what it reads is dropped, and so
-// is what is written to it.
+// conn is a connection that can be made silent: then it drops all data that is
+// read from or written to it.
 type conn struct {
 	net.Conn
-	silent atomic.Bool
-	forget func()
+	silent  atomic.Bool
+	onClose func()
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -107,7 +107,7 @@
 }
 
 func (c *conn) Close() error {
-	c.forget()
+	c.onClose()
 	return c.Conn.Close()
 }
 
@@ -120,7 +120,7 @@
 	return c
 }
 
-// serverContext returns a context that ends with the server, not with the
+// serverContext returns a context that ends with the server instead of with the
 // request.
 func serverContext(r *http.Request) context.Context {
 	if ctx, ok := r.Context().Value(serverKey{}).(context.Context); ok {
--- a/standin/instancelist/handler.go
+++ b/standin/instancelist/handler.go
@@ -30,7 +30,7 @@
 	return mux
 }
 
-// serveInstances sends the list, or nothing to a reader that has it already.
+// serveInstances sends the list, or 304 if the reader's ETag is current.
 func (l *List) serveInstances(w http.ResponseWriter, r *http.Request) {
 	body, err := json.Marshal(l.Instances())
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 func (l *List) serveDelete(w http.ResponseWriter, r *http.Request) {
-	id, err := idOf(r)
+	id, err := instanceID(r)
 	if err != nil {
 		wire.Refuse(w, err)
 		return
@@ -65,7 +65,7 @@
 }
 
 func parsePut(w http.ResponseWriter, r *http.Request) (provider.Instance, error) {
-	id, err := idOf(r)
+	id, err := instanceID(r)
 	if err != nil {
 		return provider.Instance{}, err
 	}
@@ -81,7 +81,7 @@
 	return instance, nil
 }
 
-func idOf(r *http.Request) (string, error) {
+func instanceID(r *http.Request) (string, error) {
 	rest, err := url.PathUnescape(pattern.Path(r.Context()))
 	if err != nil {
 		return "", fault.Wrap(fault.Invalid, err, "path")
--- a/standin/instancelist/instancelist.go
+++ b/standin/instancelist/instancelist.go
@@ -1,5 +1,5 @@
 // Package instancelist is a stand-in of the platform's instance list, which
-// shows what was true a while ago.
+// shows changes with a lag.
 //
 // Usage:
 //
@@ -31,19 +31,19 @@
 
 // Bounds.
 const (
-	MaxInstances = 4096
-	maxPast      = 8192 // changes that the lag can hold back
-	maxID        = 200
+	MaxInstances      = 4096
+	maxPendingChanges = 8192 // older changes show at once, whatever the lag
+	maxID             = 200
 )
 
 // Faults are the faults of the instance list.
 type Faults struct {
 	faults.Common
-	Lag   faults.Duration `json:"lag,omitempty"`   // on top of the usual lag
+	Lag   faults.Duration `json:"lag,omitempty"`   // added to the configured lag
 	Stuck []string        `json:"stuck,omitempty"` // IDs whose entries don't change from now on
 }
 
-// Option changes a List.
+// Option configures a List.
 type Option func(*List)
 
 // List is the instance list.
@@ -54,11 +54,11 @@
 	lag     time.Duration
 	initial Faults
 
-	mu    sync.Mutex
-	seen  map[string]provider.Instance // the changes that have shown
-	past  []change                     // those that haven't, oldest first
-	known map[string]bool              // IDs that are listed in truth
-	stuck map[string]bool
+	mu      sync.Mutex
+	visible map[string]provider.Instance // entries that readers get
+	pending []change                     // changes that readers don't get yet, oldest first
+	listed  map[string]bool              // IDs with all changes applied
+	stuck   map[string]bool
 }
 
 // change sets an entry, or removes it when instance is nil.
@@ -71,9 +71,9 @@
 // New returns an empty list.
 func New(opts ...Option) *List {
 	l := &List{
-		now:   time.Now,
-		seen:  make(map[string]provider.Instance),
-		known: make(map[string]bool),
+		now:     time.Now,
+		visible: make(map[string]provider.Instance),
+		listed:  make(map[string]bool),
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -90,7 +90,7 @@
 	return func(l *List) { l.now = now }
 }
 
-// WithLag sets how long a change takes to show.
+// WithLag sets the delay until readers get a change.
 func WithLag(d time.Duration) Option {
 	return func(l *List) { l.lag = d }
 }
@@ -105,78 +105,78 @@
 	l.handler.ServeHTTP(w, r)
 }
 
-// Serve answers requests on listener until ctx ends.
+// Serve serves requests on listener until ctx ends or the fault "dead" is set.
 func (l *List) Serve(ctx context.Context, listener net.Listener) error {
 	return l.Injector.Serve(ctx, listener, l)
 }
 
-// Put lists an instance, or changes its entry.
+// Put adds or replaces an instance's entry.
 func (l *List) Put(instance provider.Instance) error {
 	if instance.ID == "" || len(instance.ID) > maxID {
 		return fault.New(fault.Invalid, "instance ID %q", instance.ID)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known[instance.ID] && len(l.known) >= MaxInstances {
+	if !l.listed[instance.ID] && len(l.listed) >= MaxInstances {
 		return fault.New(fault.TooLarge, "more than %d instances", MaxInstances)
 	}
-	l.known[instance.ID] = true
-	l.note(change{at: l.now(), id: instance.ID, instance: &instance})
+	l.listed[instance.ID] = true
+	l.addChange(change{at: l.now(), id: instance.ID, instance: &instance})
 	return nil
 }
 
-// Delete takes an instance off the list.
+// Delete removes an instance's entry.
 func (l *List) Delete(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known[id] {
+	if !l.listed[id] {
 		return
 	}
-	delete(l.known, id)
-	l.note(change{at: l.now(), id: id})
+	delete(l.listed, id)
+	l.addChange(change{at: l.now(), id: id})
 }
 
-// Instances returns what the list shows now, ordered by ID.
+// Instances returns the entries that readers get now, ordered by ID.
 func (l *List) Instances() []provider.Instance {
 	lag := l.lag + time.Duration(l.Get().Lag)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.show(l.now().Add(-lag))
-	shown := make([]provider.Instance, 0, len(l.seen))
-	for _, instance := range l.seen {
+	l.applyUntil(l.now().Add(-lag))
+	shown := make([]provider.Instance, 0, len(l.visible))
+	for _, instance := range l.visible {
 		shown = append(shown, instance)
 	}
 	slices.SortFunc(shown, byID)
 	return shown
 }
 
-func (l *List) note(c change) {
-	l.past = append(l.past, c)
-	if len(l.past) > maxPast {
-		l.apply(l.past[0])
-		l.past = l.past[1:]
+func (l *List) addChange(c change) {
+	l.pending = append(l.pending, c)
+	if len(l.pending) > maxPendingChanges {
+		l.apply(l.pending[0])
+		l.pending = l.pending[1:]
 	}
 }
 
-// show lets the changes up to a time show, but for stuck entries.
-func (l *List) show(until time.Time) {
-	kept := l.past[:0]
-	for _, c := range l.past {
+// applyUntil applies the pending changes up to a time, except those of stuck entries.
+func (l *List) applyUntil(until time.Time) {
+	kept := l.pending[:0]
+	for _, c := range l.pending {
 		if c.at.After(until) || l.stuck[c.id] {
 			kept = append(kept, c)
 			continue
 		}
 		l.apply(c)
 	}
-	l.past = slices.Clip(kept)
+	l.pending = slices.Clip(kept)
 }
 
 func (l *List) apply(c change) {
 	if c.instance == nil {
-		delete(l.seen, c.id)
+		delete(l.visible, c.id)
 		return
 	}
-	l.seen[c.id] = *c.instance
+	l.visible[c.id] = *c.instance
 }
 
 func (l *List) setStuck(f Faults) {
--- a/standin/instancelist/instancelist_test.go
+++ b/standin/instancelist/instancelist_test.go
@@ -15,9 +15,10 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/memory"
 )
 
-// Symptom: new work goes to an instance that has left, or none to a new one.
-// Sequence: instances come and go; the list shows it a while later, or never.
-// Cause: the list is taken for the truth; here it must lie as told.
+// TestLagAndStuck checks that the list shows changes after its lag, and doesn't
+// show changes of stuck entries. Other tests rely on it to find code that takes
+// the list for current, and so sends work to an instance that has left or none to
+// a new one.
 func TestLagAndStuck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/standin/logservice/handler.go
+++ b/standin/logservice/handler.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	maxLimit   = 5000 // entries in a page
-	maxRecords = 5000 // records in an append
+	maxPageEntries   = 5000
+	maxAppendRecords = 5000
 )
 
 type readRequest struct {
@@ -40,17 +40,17 @@
 }
 
 func (s *Service) serveAppend(w http.ResponseWriter, r *http.Request) {
-	first, err := s.appendRequest(w, r)
+	first, err := s.handleAppend(w, r)
 	if err != nil {
 		wire.Refuse(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeJSON)
-	_ = json.NewEncoder(w).Encode(wire.Appended{First: first}) // the reader may have gone
+	_ = json.NewEncoder(w).Encode(wire.Appended{First: first}) // fails if the reader has disconnected
 }
 
-func (s *Service) appendRequest(w http.ResponseWriter, r *http.Request) (uint64, error) {
-	name, err := streamOf(r)
+func (s *Service) handleAppend(w http.ResponseWriter, r *http.Request) (uint64, error) {
+	name, err := streamName(r)
 	if err != nil {
 		return 0, err
 	}
@@ -74,7 +74,7 @@
 		wire.Refuse(w, err)
 		return
 	}
-	page, err := s.readWaiting(r.Context(), request)
+	page, err := s.waitForPage(r.Context(), request)
 	switch {
 	case fault.Is(err, fault.Expired):
 		wire.RefuseExpired(w, page)
@@ -85,7 +85,9 @@
 	}
 }
 
-func (s *Service) readWaiting(ctx context.Context, request readRequest) (provider.Page, error) {
+// waitForPage returns a page, and waits for the next append while the page is
+// empty, up to the request's wait time.
+func (s *Service) waitForPage(ctx context.Context, request readRequest) (provider.Page, error) {
 	timer := time.NewTimer(request.wait)
 	defer timer.Stop()
 	for {
@@ -110,11 +112,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeCBOR)
-	_, _ = w.Write(body) // the reader may have gone
+	_, _ = w.Write(body) // fails if the reader has disconnected
 }
 
 func parseRead(r *http.Request) (readRequest, error) {
-	name, err := streamOf(r)
+	name, err := streamName(r)
 	if err != nil {
 		return readRequest{}, err
 	}
@@ -131,10 +133,10 @@
 	if err != nil || wait < 0 || wait > wire.MaxWait {
 		return readRequest{}, fault.New(fault.Invalid, "wait %q", query.Get("wait"))
 	}
-	return readRequest{stream: name, from: from, limit: min(limit, maxLimit), wait: wait}, nil
+	return readRequest{stream: name, from: from, limit: min(limit, maxPageEntries), wait: wait}, nil
 }
 
-func streamOf(r *http.Request) (string, error) {
+func streamName(r *http.Request) (string, error) {
 	rest, err := url.PathUnescape(pattern.Path(r.Context()))
 	if err != nil {
 		return "", fault.Wrap(fault.Invalid, err, "path")
@@ -147,8 +149,8 @@
 }
 
 func checkRecords(records [][]byte) error {
-	if len(records) == 0 || len(records) > maxRecords {
-		return fault.New(fault.Invalid, "%d records, want 1 to %d", len(records), maxRecords)
+	if len(records) == 0 || len(records) > maxAppendRecords {
+		return fault.New(fault.Invalid, "%d records, want 1 to %d", len(records), maxAppendRecords)
 	}
 	for _, data := range records {
 		if len(data) > record.MaxSize {
--- a/standin/logservice/logservice.go
+++ b/standin/logservice/logservice.go
@@ -14,8 +14,8 @@
 //	GET  /streams/zone/a/records?from=&limit=&wait=  -> CBOR provider.Page; 410 for an expired offset
 //	GET, PUT /faults                                 see package faults
 //
-// An append that comes while the fault "late" is set takes effect after that
-// time, whether or not its sender still waits.
+// While the fault "late" is set, an append takes effect after that delay, even
+// if its sender has given up.
 package logservice
 
 import (
@@ -44,21 +44,21 @@
 // Faults are the faults of the log service.
 type Faults struct {
 	faults.Common
-	Keep int `json:"keep,omitempty"` // keeps only so many entries of each stream
+	Keep int `json:"keep,omitempty"` // maximum number of entries kept of each stream
 }
 
-// Option changes a Service.
+// Option configures a Service.
 type Option func(*Service)
 
 // Service is the log service.
 type Service struct {
 	*faults.Injector[Faults]
-	handler http.Handler
-	now     func() time.Time
-	limiter *rate.Limiter
-	count   int
-	age     time.Duration
-	initial Faults
+	handler    http.Handler
+	now        func() time.Time
+	limiter    *rate.Limiter
+	maxEntries int
+	maxAge     time.Duration
+	initial    Faults
 
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -67,11 +67,11 @@
 // New returns an empty log service.
 func New(opts ...Option) *Service {
 	s := &Service{
-		now:     time.Now,
-		limiter: rate.NewLimiter(DefaultRate, DefaultRate),
-		count:   DefaultCount,
-		age:     DefaultAge,
-		streams: make(map[string]*stream),
+		now:        time.Now,
+		limiter:    rate.NewLimiter(DefaultRate, DefaultRate),
+		maxEntries: DefaultCount,
+		maxAge:     DefaultAge,
+		streams:    make(map[string]*stream),
 	}
 	for _, opt := range opts {
 		opt(s)
@@ -86,15 +86,15 @@
 	return func(s *Service) { s.now = now }
 }
 
-// WithRate bounds appends per second over all streams; as many may come at
-// once.
+// WithRate bounds appends per second over all streams; the burst is one second's
+// appends.
 func WithRate(perSecond int) Option {
 	return func(s *Service) { s.limiter = rate.NewLimiter(rate.Limit(perSecond), perSecond) }
 }
 
-// WithRetention bounds how many entries a stream keeps, and how long.
+// WithRetention bounds the number and age of the entries that a stream keeps.
 func WithRetention(count int, age time.Duration) Option {
-	return func(s *Service) { s.count, s.age = count, age }
+	return func(s *Service) { s.maxEntries, s.maxAge = count, age }
 }
 
 // WithFaults sets the faults in force from the start.
@@ -107,18 +107,19 @@
 	s.handler.ServeHTTP(w, r)
 }
 
-// Serve answers requests on l until ctx ends.
+// Serve serves requests on l until ctx ends or the fault "dead" is set.
 func (s *Service) Serve(ctx context.Context, l net.Listener) error {
 	return s.Injector.Serve(ctx, l, s)
 }
 
-// append adds records to the stream called name.
+// append adds records to the stream called name, and returns the offset of the
+// first one.
 func (s *Service) append(name string, records [][]byte) (uint64, error) {
 	now := s.now()
 	if !s.limiter.AllowN(now, 1) {
 		return 0, fault.New(fault.Overloaded, "more than %v appends per second", s.limiter.Limit())
 	}
-	keep := s.keep()
+	keep := s.entryLimit()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st, err := s.stream(name)
@@ -126,29 +127,29 @@
 		return 0, err
 	}
 	first := st.append(records, now)
-	st.trim(keep, now.Add(-s.age))
+	st.trim(keep, now.Add(-s.maxAge))
 	return first, nil
 }
 
-// read returns a page and, when the page is empty at the stream's end, a
-// channel that is closed by the next append.
+// read returns a page and, if the page is empty because from is the stream's
+// end, a channel that the next append closes.
 func (s *Service) read(name string, from uint64, limit int) (provider.Page, <-chan struct{}, error) {
-	keep := s.keep()
+	keep := s.entryLimit()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st, err := s.stream(name)
 	if err != nil {
 		return provider.Page{}, nil, err
 	}
-	st.trim(keep, s.now().Add(-s.age))
+	st.trim(keep, s.now().Add(-s.maxAge))
 	return st.page(from, limit)
 }
 
-func (s *Service) keep() int {
+func (s *Service) entryLimit() int {
 	if keep := s.Get().Keep; keep > 0 {
-		return min(keep, s.count)
+		return min(keep, s.maxEntries)
 	}
-	return s.count
+	return s.maxEntries
 }
 
 func (s *Service) stream(name string) (*stream, error) {
--- a/standin/logservice/logservice_test.go
+++ b/standin/logservice/logservice_test.go
@@ -29,10 +29,9 @@
 	return page, recorder.Code
 }
 
-// Symptom: a reader misses entries without a word.
-// Sequence: a stream grows beyond what is kept, by count and by time.
-// Cause: offsets are counted from the oldest entry kept, or an offset that is
-// gone reads as the oldest one.
+// TestRetention lets a stream grow beyond its retention by count and by age. It
+// guards against readers that silently miss entries, because offsets count from
+// the oldest entry kept or a read at an expired offset returns the oldest entry.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -56,7 +55,7 @@
 	is.Equal(page.Entries[1].Offset, uint64(3))
 
 	now = now.Add(time.Hour)
-	page, code = read(s, 4) // empty, but offsets go on
+	page, code = read(s, 4) // all entries expired, offsets continue
 	is.Equal(code, http.StatusOK)
 	is.Equal(page.Next, uint64(4))
 	_, code = read(s, 5)
@@ -77,7 +76,7 @@
 	now = now.Add(time.Second)
 	is.Equal(appendOne(s, body).Code, http.StatusOK)
 	page, _ := read(s, 0)
-	is.Equal(page.Next, uint64(3)) // the refused one left nothing
+	is.Equal(page.Next, uint64(3)) // the refused append had no effect
 
 	is.Equal(appendOne(s, []byte("not CBOR")).Code, http.StatusBadRequest)
 	is.Equal(appendOne(s, make([]byte, wire.MaxAppend+1)).Code, http.StatusRequestEntityTooLarge)
--- a/standin/logservice/stream.go
+++ b/standin/logservice/stream.go
@@ -8,7 +8,7 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// stream is the entries kept, the first of them at offset oldest.
+// stream holds the entries kept of a stream; the first has the offset oldest.
 type stream struct {
 	oldest   uint64
 	entries  []provider.Entry
@@ -35,8 +35,8 @@
 	return first
 }
 
-// trim drops entries beyond the newest keep, those accepted before horizon,
-// and what exceeds MaxBytes.
+// trim drops the oldest entries as long as there are more than keep, the oldest
+// was appended before horizon, or the data exceeds MaxBytes.
 func (s *stream) trim(keep int, horizon time.Time) {
 	for len(s.entries) > 0 && s.isExpired(keep, horizon) {
 		s.bytes -= len(s.entries[0].Data)
@@ -59,16 +59,16 @@
 		return page, nil, fault.New(fault.Invalid, "offset %d beyond the end %d", from, s.next())
 	}
 	rest := s.entries[from-s.oldest:]
-	page.Entries = append(page.Entries, rest[:fitting(rest, limit)]...)
+	page.Entries = append(page.Entries, rest[:pageLength(rest, limit)]...)
 	if len(page.Entries) == 0 {
 		return page, s.appended, nil
 	}
 	return page, nil, nil
 }
 
-// fitting returns how many entries go into one page: at most limit, and no
-// more data than a page may hold, but always one.
-func fitting(entries []provider.Entry, limit int) int {
+// pageLength returns how many entries fit into one page: at most limit, and no
+// more data than wire.MaxEntries, but at least one.
+func pageLength(entries []provider.Entry, limit int) int {
 	size := 0
 	for n, e := range entries {
 		size += len(e.Data)
--- a/standin/memory/memory.go
+++ b/standin/memory/memory.go
@@ -1,5 +1,6 @@
-// Package memory is a network within the process, so that clients and
-// stand-ins can be tested together in virtual time.
+// Package memory is an in-process network, so that clients and stand-ins can be
+// tested together in virtual time. Its connections are synchronous pipes;
+// package standin/network has buffers, latency and silent connections.
 //
 // Usage:
 //
@@ -26,7 +27,7 @@
 	return &Network{listeners: make(map[string]*listener)}
 }
 
-// Listen returns the listener at address, in place of an earlier one.
+// Listen returns a listener at address, and replaces an earlier one.
 func (n *Network) Listen(address string) net.Listener {
 	l := &listener{address: addr(address), accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -35,9 +36,9 @@
 	return l
 }
 
-// Dial connects to the listener at address, and is refused where there is
-// none. A port, which HTTP adds, is left out of account when nobody listens
-// on it.
+// Dial connects to the listener at address; without one it returns
+// ECONNREFUSED. If there is no listener at an address with a port, which HTTP
+// adds, Dial looks for the address without the port.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	l := n.find(address)
 	if l == nil {
--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -1,5 +1,6 @@
-// Package network connects the parts of a program in one process without sockets,
-// so that time can be virtual.
+// Package network connects the parts of a program in one process without
+// sockets, so that tests run in virtual time. Unlike package standin/memory its
+// connections have a buffer and a latency and can go silent.
 //
 // Usage:
 //
@@ -8,7 +9,7 @@
 //	l := n.Listen(ctx, "10.0.0.1:1")
 //	go server.Serve(l)
 //	conn, err := n.Dial(ctx, "tcp", "10.0.0.1:1")
-//	n.Silence() // open connections carry nothing any more, without a word
+//	n.Silence() // open connections drop all data without an error
 package network
 
 import (
@@ -29,10 +30,10 @@
 	wires     []*wire
 }
 
-// Option changes a Network.
+// Option configures a Network.
 type Option func(*Network)
 
-// WithLatency sets how long each write takes to arrive, none by default.
+// WithLatency sets the delay of each write; the default is none.
 func WithLatency(d time.Duration) Option {
 	return func(n *Network) { n.latency = d }
 }
@@ -46,8 +47,8 @@
 	return n
 }
 
-// Listen takes connections at an address until ctx is done or the listener is
-// closed. A later one at the same address takes its place.
+// Listen accepts connections at an address until ctx is done or the listener is
+// closed. A later listener at the same address replaces it.
 func (n *Network) Listen(ctx context.Context, address string) net.Listener {
 	l := &listener{conns: make(chan net.Conn)}
 	l.Context, l.cancel = context.WithCancel(ctx)
@@ -57,7 +58,8 @@
 	return l
 }
 
-// Unlisten has connections to an address refused.
+// Unlisten removes the listener at an address, so that connections to it are
+// refused.
 func (n *Network) Unlisten(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,11 +89,12 @@
 
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// wireBuffer is how many writes a wire takes before it holds up the writer.
+// wireBuffer is how many writes a wire buffers before Write blocks.
 const wireBuffer = 16
 
-// wire is one end of a connection, with a buffer as a socket has. Once silent,
-// it takes what is written and carries nothing, not even its own end.
+// wire is one end of a connection with a write buffer like a socket's. Once
+// silent, it accepts writes and drops them, and doesn't signal its close to the
+// other end.
 type wire struct {
 	net.Conn
 	latency time.Duration
@@ -104,7 +107,7 @@
 func newWire(c net.Conn, latency time.Duration) *wire {
 	w := &wire{Conn: c, latency: latency, out: make(chan []byte, wireBuffer)}
 	w.closed, w.cancel = context.WithCancel(context.Background())
-	go w.pump()
+	go w.deliverWrites()
 	return w
 }
 
@@ -117,15 +120,15 @@
 	}
 }
 
-// pump carries what was written, and after that the end.
-func (w *wire) pump() {
+// deliverWrites delivers buffered writes, and after Close the rest of them and the close.
+func (w *wire) deliverWrites() {
 	for {
 		select {
 		case p := <-w.out:
-			w.carry(p)
+			w.deliver(p)
 		case <-w.closed.Done():
 			for len(w.out) > 0 {
-				w.carry(<-w.out)
+				w.deliver(<-w.out)
 			}
 			if !w.silent.Load() {
 				_ = w.Conn.Close()
@@ -135,7 +138,7 @@
 	}
 }
 
-func (w *wire) carry(p []byte) {
+func (w *wire) deliver(p []byte) {
 	time.Sleep(w.latency)
 	if !w.silent.Load() {
 		_, _ = w.Conn.Write(p)
@@ -147,7 +150,8 @@
 	return w.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Dial makes a connection.
+// Dial connects to the listener at address; without one it returns
+// ECONNREFUSED.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -166,7 +170,8 @@
 	}
 }
 
-// Close ends all connections for good, and waits for what they still carry.
+// Close closes all connections at both ends, and waits until their buffers are
+// empty.
 func (n *Network) Close() {
 	n.mu.Lock()
 	wires := slices.Clone(n.wires)
--- a/standin/worker/handler.go
+++ b/standin/worker/handler.go
@@ -15,24 +15,24 @@
 
 func (w *Worker) mux() http.Handler {
 	mux := goji.NewMux()
-	mux.HandleFunc(pat.Post(wire.PathAcquire), handle(w.Acquire))
-	mux.HandleFunc(pat.Post(wire.PathRenew), handle(w.Renew))
-	mux.HandleFunc(pat.Post(wire.PathRelease), handle(func(in wire.Release) (struct{}, error) {
+	mux.HandleFunc(pat.Post(wire.PathAcquire), jsonHandler(w.Acquire))
+	mux.HandleFunc(pat.Post(wire.PathRenew), jsonHandler(w.Renew))
+	mux.HandleFunc(pat.Post(wire.PathRelease), jsonHandler(func(in wire.Release) (struct{}, error) {
 		return struct{}{}, w.Release(in.Epoch)
 	}))
-	mux.HandleFunc(pat.Post(wire.PathTransfer), handle(func(in wire.Transfer) (provider.Lease, error) {
+	mux.HandleFunc(pat.Post(wire.PathTransfer), jsonHandler(func(in wire.Transfer) (provider.Lease, error) {
 		return w.Transfer(in.Epoch, in.To)
 	}))
-	mux.HandleFunc(pat.Post(wire.PathStart), handle(func(in wire.Start) (struct{}, error) {
+	mux.HandleFunc(pat.Post(wire.PathStart), jsonHandler(func(in wire.Start) (struct{}, error) {
 		return struct{}{}, w.Start(in.Epoch, in.Task)
 	}))
-	mux.HandleFunc(pat.Post(wire.PathStop), handle(func(in wire.Stop) (struct{}, error) {
+	mux.HandleFunc(pat.Post(wire.PathStop), jsonHandler(func(in wire.Stop) (struct{}, error) {
 		return struct{}{}, w.Stop(in.Epoch, in.Task, in.Checkpoint)
 	}))
-	mux.HandleFunc(pat.Post(wire.PathThrottle), handle(func(in wire.Throttle) (struct{}, error) {
+	mux.HandleFunc(pat.Post(wire.PathThrottle), jsonHandler(func(in wire.Throttle) (struct{}, error) {
 		return struct{}{}, w.Throttle(in.Epoch, in.Task, in.Percent)
 	}))
-	mux.HandleFunc(pat.Post(wire.PathAcknowledge), handle(func(in wire.Acknowledge) (struct{}, error) {
+	mux.HandleFunc(pat.Post(wire.PathAcknowledge), jsonHandler(func(in wire.Acknowledge) (struct{}, error) {
 		return struct{}{}, w.Acknowledge(in.Epoch, in.Tasks)
 	}))
 	mux.HandleFunc(pat.Get(wire.PathReport), func(rw http.ResponseWriter, _ *http.Request) {
@@ -46,8 +46,9 @@
 	return mux
 }
 
-// handle turns a call into a handler with JSON bodies.
-func handle[In, Out any](call func(In) (Out, error)) http.HandlerFunc {
+// jsonHandler returns a handler that decodes a JSON request, makes a call with it, and
+// encodes the result as JSON.
+func jsonHandler[In, Out any](call func(In) (Out, error)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		var in In
 		decoder := json.NewDecoder(http.MaxBytesReader(rw, r.Body, wire.MaxControl))
@@ -66,5 +67,5 @@
 
 func writeJSON(rw http.ResponseWriter, v any) {
 	rw.Header().Set("Content-Type", wire.TypeJSON)
-	_ = json.NewEncoder(rw).Encode(v) // the reader may have gone
+	_ = json.NewEncoder(rw).Encode(v) // fails if the reader has disconnected
 }
--- a/standin/worker/lease.go
+++ b/standin/worker/lease.go
@@ -12,14 +12,15 @@
 	epoch      uint64
 	ttl        time.Duration
 	until      time.Time
-	tasksUntil time.Time // what LeaseRequest.Tasks extended batch tasks to
+	tasksUntil time.Time // end of batch tasks' leases as extended by LeaseRequest.Tasks
 }
 
 func (l lease) inForce(now time.Time) bool {
 	return now.Before(l.until)
 }
 
-// Acquire grants the lease with a new epoch, unless another holder has it.
+// Acquire grants the lease with a new epoch, unless another holder's lease is in
+// force.
 func (w *Worker) Acquire(request provider.LeaseRequest) (provider.Lease, error) {
 	if request.Holder == "" || len(request.Holder) > maxID {
 		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q", request.Holder)
@@ -27,49 +28,49 @@
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(now)
+	w.advance(now)
 	if w.lease.inForce(now) && w.lease.holder != request.Holder {
 		err := fault.New(fault.Conflict, "lease is held by %s", w.lease.holder)
 		return provider.Lease{}, err.After(w.lease.until.Sub(now))
 	}
-	if err := checkTimes(request); err != nil {
+	if err := checkLeaseTimes(request); err != nil {
 		return provider.Lease{}, err
 	}
 	w.lease.holder = request.Holder
 	w.lease.epoch = max(w.lease.epoch, request.After) + 1
-	w.extend(request, now)
-	return w.granted(), nil
+	w.extendLease(request, now)
+	return w.grantedLease(), nil
 }
 
-// Renew extends the lease whose epoch is in force; the epoch stands for the
-// holder.
+// Renew extends the lease if the request carries the epoch in force, which
+// identifies the holder.
 func (w *Worker) Renew(request provider.LeaseRequest) (provider.Lease, error) {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(request.Epoch, now); err != nil {
+	if err := w.checkEpoch(request.Epoch, now); err != nil {
 		return provider.Lease{}, err
 	}
-	if err := checkTimes(request); err != nil {
+	if err := checkLeaseTimes(request); err != nil {
 		return provider.Lease{}, err
 	}
-	w.extend(request, now)
-	return w.granted(), nil
+	w.extendLease(request, now)
+	return w.grantedLease(), nil
 }
 
-// Release ends the lease. Batch tasks go on until their own leases end.
+// Release ends the lease. Batch tasks continue until their own leases end.
 func (w *Worker) Release(epoch uint64) error {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(epoch, now); err != nil {
+	if err := w.checkEpoch(epoch, now); err != nil {
 		return err
 	}
 	w.lease.until = now
 	return nil
 }
 
-// Transfer gives the lease to another holder with a new epoch.
+// Transfer hands over the lease to another holder with a new epoch.
 func (w *Worker) Transfer(epoch uint64, to string) (provider.Lease, error) {
 	if to == "" || len(to) > maxID {
 		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q", to)
@@ -77,30 +78,30 @@
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(epoch, now); err != nil {
+	if err := w.checkEpoch(epoch, now); err != nil {
 		return provider.Lease{}, err
 	}
 	w.lease.holder = to
 	w.lease.epoch++
 	w.lease.until = now.Add(w.lease.ttl)
-	return w.granted(), nil
+	return w.grantedLease(), nil
 }
 
-// enter brings the worker up to now and refuses an epoch that isn't in
+// checkEpoch advances the worker's state to now and refuses an epoch that isn't in
 // force.
 //
-// A holder may be paused between checking its lease and using it; one would
-// notice two owners starting work on one worker. Only this check, at the
-// moment of effect, closes that gap.
-func (w *Worker) enter(epoch uint64, now time.Time) error {
-	w.settle(now)
+// A holder may be paused between checking its lease and using it, and then two
+// owners would start work on one worker. Only this check at the moment that a
+// call takes effect prevents that.
+func (w *Worker) checkEpoch(epoch uint64, now time.Time) error {
+	w.advance(now)
 	if epoch != w.lease.epoch || !w.lease.inForce(now) {
 		return fault.New(fault.StaleEpoch, "epoch %d isn't in force", epoch)
 	}
 	return nil
 }
 
-func (w *Worker) extend(request provider.LeaseRequest, now time.Time) {
+func (w *Worker) extendLease(request provider.LeaseRequest, now time.Time) {
 	w.lease.ttl = request.TTL
 	w.lease.until = now.Add(request.TTL)
 	if request.Tasks == 0 {
@@ -108,21 +109,21 @@
 	}
 	w.lease.tasksUntil = later(w.lease.tasksUntil, now.Add(request.Tasks))
 	for _, t := range w.tasks {
-		t.until = later(t.until, w.lease.tasksUntil)
+		t.leaseUntil = later(t.leaseUntil, w.lease.tasksUntil)
 	}
 }
 
-func (w *Worker) granted() provider.Lease {
+func (w *Worker) grantedLease() provider.Lease {
 	return provider.Lease{
 		Epoch:    w.lease.epoch,
 		TTL:      w.lease.ttl,
 		Capacity: w.capacity,
 		Slots:    w.slots,
-		Tasks:    w.running(),
+		Tasks:    w.taskReports(),
 	}
 }
 
-func checkTimes(request provider.LeaseRequest) error {
+func checkLeaseTimes(request provider.LeaseRequest) error {
 	if request.TTL <= 0 || request.TTL > MaxTTL {
 		return fault.New(fault.Invalid, "lease for %v, want up to %v", request.TTL, MaxTTL)
 	}
--- a/standin/worker/program.go
+++ b/standin/worker/program.go
@@ -10,49 +10,49 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-const failAfter = 10 * time.Millisecond
+const failDelay = 10 * time.Millisecond
 
-// program is what a batch task does.
+// program is the simulated behaviour of a batch task.
 type program struct {
-	work    time.Duration
-	endless bool
-	failure string // reason, empty when it succeeds
-	use     float64
+	workTime    time.Duration
+	endless     bool
+	failure     string // reason; empty if the task succeeds
+	usageFactor float64
 }
 
-// compile returns the program of a command on the worker called id. A
-// command that makes no sense gives a program that fails.
-func compile(spec provider.TaskSpec, id string) program {
+// parseProgram returns the program of a task's command on the worker called id. An
+// invalid command results in a program that fails.
+func parseProgram(spec provider.TaskSpec, id string) program {
 	words := strings.Fields(spec.Command)
-	use, words, err := cutUse(words)
+	use, words, err := cutUsageFactor(words)
 	if err != nil {
-		return failing(err.Error())
+		return failingProgram(err.Error())
 	}
-	p, err := compileWords(words, spec.Duration, id)
+	p, err := parseCommand(words, spec.Duration, id)
 	if err != nil {
-		return failing(err.Error())
+		return failingProgram(err.Error())
 	}
-	p.use = use
+	p.usageFactor = use
 	return p
 }
 
-func failing(reason string) program {
-	return program{work: failAfter, failure: reason, use: 1}
+func failingProgram(reason string) program {
+	return program{workTime: failDelay, failure: reason, usageFactor: 1}
 }
 
-func compileWords(words []string, declared time.Duration, id string) (program, error) {
+func parseCommand(words []string, declared time.Duration, id string) (program, error) {
 	if len(words) == 0 {
-		return program{work: declared}, nil
+		return program{workTime: declared}, nil
 	}
 	switch name, rest := words[0], words[1:]; name {
 	case "sleep":
-		work, err := workOf(rest, declared)
-		return program{work: work}, err
+		work, err := parseWorkTime(rest, declared)
+		return program{workTime: work}, err
 	case "fail":
-		work, err := workOf(rest, failAfter)
-		return program{work: work, failure: "command failed"}, err
+		work, err := parseWorkTime(rest, failDelay)
+		return program{workTime: work, failure: "command failed"}, err
 	case "fail-here":
-		return compileFailHere(rest, declared, id)
+		return parseFailHere(rest, declared, id)
 	case "never":
 		return program{endless: true}, nil
 	default:
@@ -60,18 +60,18 @@
 	}
 }
 
-func compileFailHere(words []string, declared time.Duration, id string) (program, error) {
+func parseFailHere(words []string, declared time.Duration, id string) (program, error) {
 	if len(words) == 0 {
 		return program{}, fault.New(fault.Invalid, "fail-here without workers")
 	}
 	if slices.Contains(strings.Split(words[0], ","), id) {
-		return failing("command failed on " + id), nil
+		return failingProgram("command failed on " + id), nil
 	}
-	work, err := workOf(words[1:], declared)
-	return program{work: work}, err
+	work, err := parseWorkTime(words[1:], declared)
+	return program{workTime: work}, err
 }
 
-func workOf(words []string, otherwise time.Duration) (time.Duration, error) {
+func parseWorkTime(words []string, otherwise time.Duration) (time.Duration, error) {
 	if len(words) == 0 {
 		return otherwise, nil
 	}
@@ -82,7 +82,7 @@
 	return work, nil
 }
 
-func cutUse(words []string) (float64, []string, error) {
+func cutUsageFactor(words []string) (float64, []string, error) {
 	if len(words) == 0 {
 		return 1, words, nil
 	}
--- a/standin/worker/service.go
+++ b/standin/worker/service.go
@@ -19,21 +19,21 @@
 // MaxRequest bounds the body of a request to a replica.
 const MaxRequest = 16 << 20
 
-// serviceRequest is a request to a replica, with its shape.
+// serviceRequest is a parsed request to a replica.
 type serviceRequest struct {
 	service string
 	epoch   uint64
 	id      string
 	key     string
-	shape   shape
-	sum     uint64 // of the body
+	shape   answerShape
+	sum     uint64 // checksum of the body
 }
 
 func (w *Worker) serveService(rw http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(wire.HeaderRequest)
 	rw.Header().Set(wire.HeaderRequest, id)
-	w.handling(id, 1)
-	defer w.handling(id, -1)
+	w.countInFlight(id, 1)
+	defer w.countInFlight(id, -1)
 	request, err := parseService(rw, r)
 	if err != nil {
 		wire.Refuse(rw, err)
@@ -47,7 +47,7 @@
 	}
 	start := time.Now()
 	time.Sleep(time.Duration(float64(request.shape.work) * slowdown))
-	w.answered(t, time.Since(start))
+	w.finishRequest(t, time.Since(start))
 	time.Sleep(request.shape.delay)
 	if fails {
 		request.shape.status = http.StatusInternalServerError
@@ -55,53 +55,53 @@
 	writeAnswer(rw, request)
 }
 
-// handling counts the requests in hand by their IDs.
-func (w *Worker) handling(id string, n int) {
+// countInFlight adds n to the number of requests in flight with an ID.
+func (w *Worker) countInFlight(id string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.inHand[id] += n
-	if w.inHand[id] == 0 {
-		delete(w.inHand, id)
+	w.inFlight[id] += n
+	if w.inFlight[id] == 0 {
+		delete(w.inFlight, id)
 	}
 }
 
-// serveHealth answers a probe, and whether the request that it names is in
-// hand here.
+// serveHealth answers a probe, and states whether the request that the probe
+// names is in flight here.
 func (w *Worker) serveHealth(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	running := w.inHand[r.Header.Get(wire.HeaderRequest)] > 0
+	running := w.inFlight[r.Header.Get(wire.HeaderRequest)] > 0
 	w.mu.Unlock()
 	rw.Header().Set(wire.HeaderRunning, strconv.FormatBool(running))
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// admit takes a slot and returns the replica with its present slowdown. All
-// refusals are made here, before anything runs.
+// admit reserves a slot and returns the replica with its current slowdown. Every
+// refusal happens before the request is counted in the ledger.
 func (w *Worker) admit(request serviceRequest) (*task, float64, error) {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(request.epoch, now); err != nil {
+	if err := w.checkEpoch(request.epoch, now); err != nil {
 		return nil, 0, err
 	}
 	t, err := w.freeReplica(request.service)
 	if err != nil {
 		return nil, 0, err
 	}
-	t.traffic.busy++
-	w.busy++
-	w.ledger.request(request.id, request.key, request.shape.nonce)
+	t.traffic.busySlots++
+	w.busySlots++
+	w.ledger.recordRequest(request.id, request.key, request.shape.nonce)
 	return t, w.slowdown(t.spec.Group), nil
 }
 
-func (w *Worker) answered(t *task, latency time.Duration) {
+func (w *Worker) finishRequest(t *task, latency time.Duration) {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(now)
-	w.busy--
-	t.traffic.busy--
-	t.traffic.answered(latency)
+	w.advance(now)
+	w.busySlots--
+	t.traffic.busySlots--
+	t.traffic.recordAnswer(latency)
 }
 
 // freeReplica returns the replica of a service with the most free slots.
@@ -109,29 +109,32 @@
 	var best *task
 	free := 0
 	for _, t := range w.tasks {
-		if !serves(t, service) {
+		if !isReplicaOf(t, service) {
 			continue
 		}
-		if n := w.slotsOf(t) - t.traffic.busy; best == nil || n > free {
+		if n := w.maxSlots(t) - t.traffic.busySlots; best == nil || n > free {
 			best, free = t, n
 		}
 	}
 	if best == nil {
 		return nil, fault.New(fault.NotFound, "no replica of service %q", service)
 	}
-	if free <= 0 || w.busy >= w.slots {
+	if free <= 0 || w.busySlots >= w.slots {
 		return nil, fault.New(fault.Overloaded, "no free slot")
 	}
 	return best, nil
 }
 
-func (w *Worker) slotsOf(t *task) int {
+func (w *Worker) maxSlots(t *task) int {
 	if t.spec.Slots == 0 {
 		return w.slots
 	}
 	return t.spec.Slots
 }
 
+// slowdown returns the factor by which the running batch tasks slow down a
+// service of a group. The tasks' slowdowns add up, each in proportion to the
+// task's speed.
 func (w *Worker) slowdown(group string) float64 {
 	factor := 1.0
 	for _, t := range w.tasks {
@@ -145,13 +148,13 @@
 	return factor
 }
 
-func serves(t *task, service string) bool {
+func isReplicaOf(t *task, service string) bool {
 	name, _, _ := strings.Cut(t.spec.ID, "/")
 	return !t.isBatch() && t.state == provider.TaskRunning && name == service
 }
 
 func parseService(rw http.ResponseWriter, r *http.Request) (serviceRequest, error) {
-	service, err := serviceOf(r)
+	service, err := serviceName(r)
 	if err != nil {
 		return serviceRequest{}, err
 	}
@@ -180,7 +183,7 @@
 	}, nil
 }
 
-func serviceOf(r *http.Request) (string, error) {
+func serviceName(r *http.Request) (string, error) {
 	rest := strings.TrimPrefix(pattern.Path(r.Context()), "/")
 	escaped, _, _ := strings.Cut(rest, "/")
 	service, err := url.PathUnescape(escaped)
@@ -214,7 +217,7 @@
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	rw.WriteHeader(request.shape.status)
 	if !request.shape.truncate {
-		_, _ = rw.Write(body) // the caller may have gone
+		_, _ = rw.Write(body) // fails if the caller has disconnected
 		return
 	}
 	_, _ = rw.Write(body[:len(body)/2])
--- a/standin/worker/service_test.go
+++ b/standin/worker/service_test.go
@@ -39,10 +39,10 @@
 	is.New(t).NoErr(w.Start(lease.Epoch, replica))
 }
 
-// Symptom: a refused request ran, or one that ran isn't counted.
-// Sequence: requests come under an old epoch, for an unknown service, with no
-// free slot, with a bad shape, and well.
-// Cause: a refusal is made after a slot was taken.
+// TestServiceRequests sends valid requests and requests with a wrong epoch, for
+// an unknown service, without a free slot and with an invalid size. It guards
+// against refused requests that are counted as run because they are refused
+// after a slot was reserved, and against requests that run uncounted.
 func TestServiceRequests(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -97,18 +97,17 @@
 		synctest.Wait()
 		is.Equal(request(w, "1", "/services/pricing/x").Header().Get(wire.HeaderFault), "Overloaded")
 		is.NoErr(w.Start(1, provider.TaskSpec{ID: "pricing/2", Kind: provider.KindService, Slots: 5}))
-		is.Equal(request(w, "1", "/services/pricing/x").Header().Get(wire.HeaderFault), "Overloaded") // the worker's slots bound all
+		is.Equal(request(w, "1", "/services/pricing/x").Header().Get(wire.HeaderFault), "Overloaded") // the worker's slots bound all replicas together
 		is.NoErr(w.Stop(1, "t", false))
 		time.Sleep(30 * time.Second)
-		is.Equal(took(), 10*time.Millisecond) // the slot is free again, and nothing disturbs
+		is.Equal(took(), 10*time.Millisecond) // the slot is free again, and no batch task interferes
 	})
 }
 
-// Symptom: a task runs in two places.
-// Sequence: an owner sends a start and gives up waiting; its lease ends and
-// the task is started elsewhere; the first worker, paused or far away, takes
-// up the start.
-// Cause: the epoch is checked when a request arrives, not when it takes effect.
+// TestLateStart delays a start, by a pause of the worker or on its way, until
+// the owner's lease has ended and the task may run elsewhere. It guards against
+// checking the epoch when a request arrives instead of when it takes effect,
+// which would run the task in two places.
 func TestLateStart(t *testing.T) {
 	for _, f := range []faults.Common{{Pause: faults.Duration(10 * time.Second)}, {Late: faults.Duration(10 * time.Second)}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -137,9 +136,8 @@
 	}
 }
 
-// Symptom: tasks of a dead worker seem to go on, or connections to it hang.
-// Sequence: a worker runs a task and dies.
-// Cause: the stand-in ends its listener but not its tasks.
+// TestDeath guards against a dead worker whose tasks keep running in the ledger
+// or whose connections hang, because the stand-in closes only its listener.
 func TestDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -173,12 +171,12 @@
 	is.Equal(w.Get(), want)
 	for _, bad := range []string{`{"nonsense":1}`, `{"slow":"1h"}`, `{"lose":2}`, `{"slow":"2s"} x`, ``} {
 		is.Equal(put(bad), http.StatusBadRequest)
-		is.Equal(w.Get(), want) // nothing changed
+		is.Equal(w.Get(), want) // unchanged
 	}
 	is.Equal(put(`{"down":true}`), http.StatusOK)
 	is.Equal(request(w, "1", "/services/pricing/x").Header().Get(wire.HeaderFault), "Unavailable")
 	recorder := httptest.NewRecorder()
-	w.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/ledger", nil)) // meets no fault
+	w.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/ledger", nil)) // exempt from faults
 	var ledger worker.Ledger
 	is.NoErr(json.Unmarshal(recorder.Body.Bytes(), &ledger))
 	is.Equal(ledger.Worker, "w1")
--- a/standin/worker/shape.go
+++ b/standin/worker/shape.go
@@ -13,8 +13,8 @@
 
 const maxShapeTime = time.Minute
 
-// shape is what a request asks of its answer.
-type shape struct {
+// answerShape holds the properties of an answer that the request's query sets.
+type answerShape struct {
 	work     time.Duration
 	delay    time.Duration
 	size     int
@@ -23,8 +23,8 @@
 	nonce    string
 }
 
-func parseShape(query url.Values) (shape, error) {
-	s := shape{status: http.StatusOK, nonce: query.Get("nonce"), truncate: query.Get("truncate") == "true"}
+func parseShape(query url.Values) (answerShape, error) {
+	s := answerShape{status: http.StatusOK, nonce: query.Get("nonce"), truncate: query.Get("truncate") == "true"}
 	if len(s.nonce) > maxID {
 		return s, fault.New(fault.Invalid, "nonce of %d bytes", len(s.nonce))
 	}
--- a/standin/worker/task.go
+++ b/standin/worker/task.go
@@ -9,8 +9,8 @@
 
 const fullSpeed = 100 // percent
 
-// task is one attempt that the worker holds. Its progress is counted in work
-// at full speed and computed when asked for; nothing runs in between.
+// task is one attempt at a task, running or ended. Its progress is the work done,
+// in time at full speed. It is computed on demand; no goroutine runs for a task.
 type task struct {
 	spec       provider.TaskSpec
 	program    program
@@ -18,10 +18,10 @@
 	checkpoint string
 	result     string
 	reason     string
-	until      time.Time // end of a batch task's lease
+	leaseUntil time.Time // end of a batch task's lease
 	percent    int       // speed
-	done       time.Duration
-	measured   time.Time // when done was brought up to date
+	workDone   time.Duration
+	workDoneAt time.Time // when workDone was last updated
 	traffic    traffic   // of a service replica
 }
 
@@ -32,8 +32,8 @@
 		state:      provider.TaskRunning,
 		checkpoint: spec.Checkpoint,
 		percent:    fullSpeed,
-		done:       resumed,
-		measured:   now,
+		workDone:   resumed,
+		workDoneAt: now,
 	}
 }
 
@@ -42,56 +42,57 @@
 }
 
 func (t *task) progress(now time.Time) time.Duration {
-	return t.done + now.Sub(t.measured)*time.Duration(t.percent)/fullSpeed
+	return t.workDone + now.Sub(t.workDoneAt)*time.Duration(t.percent)/fullSpeed
 }
 
 func (t *task) throttle(percent int, now time.Time) {
-	t.done = t.progress(now)
-	t.measured = now
+	t.workDone = t.progress(now)
+	t.workDoneAt = now
 	t.percent = percent
 }
 
-// finish returns when the program ends at the present speed, if ever.
-func (t *task) finish() (time.Time, bool) {
+// finishTime returns when the program ends at the current speed, if ever.
+func (t *task) finishTime() (time.Time, bool) {
 	if t.program.endless || t.percent == 0 {
 		return time.Time{}, false
 	}
-	left := max(t.program.work-t.done, 0)
-	return t.measured.Add(left * fullSpeed / time.Duration(t.percent)), true
+	left := max(t.program.workTime-t.workDone, 0)
+	return t.workDoneAt.Add(left * fullSpeed / time.Duration(t.percent)), true
 }
 
-// next returns when a batch task will end, and whether by itself rather than
-// by its lease.
-func (t *task) next() (at time.Time, finished bool) {
-	finish, ok := t.finish()
-	if ok && !finish.After(t.until) {
+// nextEnd returns when a batch task ends, and whether its program finishes then;
+// otherwise its lease ends.
+func (t *task) nextEnd() (at time.Time, finished bool) {
+	finish, ok := t.finishTime()
+	if ok && !finish.After(t.leaseUntil) {
 		return finish, true
 	}
-	return t.until, false
+	return t.leaseUntil, false
 }
 
-// lastCheckpoint returns the newest checkpoint taken every so much work.
+// lastCheckpoint returns the newest checkpoint, with one taken after each amount
+// every of work.
 func (t *task) lastCheckpoint(now time.Time, every time.Duration) string {
 	taken := t.progress(now).Truncate(every)
 	if taken <= 0 {
 		return t.spec.Checkpoint
 	}
-	return max(taken, resumeAt(t.spec.Checkpoint)).String()
+	return max(taken, checkpointProgress(t.spec.Checkpoint)).String()
 }
 
 func (t *task) used() resource.Vector {
 	if !t.isBatch() {
 		return t.spec.Need
 	}
-	factor := t.program.use * float64(t.percent) / fullSpeed
+	factor := t.program.usageFactor * float64(t.percent) / fullSpeed
 	return resource.Vector{
 		Processors:   int64(float64(t.spec.Need.Processors) * factor),
-		Memory:       int64(float64(t.spec.Need.Memory) * t.program.use),
+		Memory:       int64(float64(t.spec.Need.Memory) * t.program.usageFactor),
 		Accelerators: t.spec.Need.Accelerators,
 	}
 }
 
-func (t *task) running() provider.Running {
+func (t *task) report() provider.Running {
 	return provider.Running{
 		ID:         t.spec.ID,
 		Kind:       t.spec.Kind,
@@ -105,7 +106,7 @@
 	}
 }
 
-func resumeAt(checkpoint string) time.Duration {
+func checkpointProgress(checkpoint string) time.Duration {
 	d, err := time.ParseDuration(checkpoint)
 	if err != nil {
 		return 0
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -10,8 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Start runs a task. To start an attempt that is held already changes
-// nothing.
+// Start starts a task. It is idempotent for an attempt that the worker holds
+// already.
 func (w *Worker) Start(epoch uint64, spec provider.TaskSpec) error {
 	if err := checkSpec(spec); err != nil {
 		return err
@@ -20,40 +20,40 @@
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(epoch, now); err != nil {
+	if err := w.checkEpoch(epoch, now); err != nil {
 		return err
 	}
 	if held, ok := w.tasks[spec.ID]; ok {
-		return checkHeld(held, spec)
+		return checkSameAttempt(held, spec)
 	}
-	if err := w.checkRoom(spec); err != nil {
+	if err := w.checkCapacity(spec); err != nil {
 		return err
 	}
-	t := newTask(spec, w.program(spec, failing), resumeAt(spec.Checkpoint), now)
-	t.until = later(w.lease.tasksUntil, w.lease.until)
+	t := newTask(spec, w.programOf(spec, failing), checkpointProgress(spec.Checkpoint), now)
+	t.leaseUntil = later(w.lease.tasksUntil, w.lease.until)
 	w.tasks[spec.ID] = t
-	w.ledger.start(t, now)
-	w.settle(now)
+	w.ledger.recordStart(t, now)
+	w.advance(now)
 	return nil
 }
 
-// Stop ends a running task; its result is kept.
+// Stop ends a running task; its result is kept until it is acknowledged.
 func (w *Worker) Stop(epoch uint64, id string, checkpoint bool) error {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t, err := w.find(epoch, id, now)
+	t, err := w.findTask(epoch, id, now)
 	if err != nil || t.state != provider.TaskRunning {
 		return err
 	}
-	w.end(t, now, provider.TaskStopped, "stopped on request")
+	w.endTask(t, now, provider.TaskStopped, "stopped on request")
 	if checkpoint && t.isBatch() {
 		t.checkpoint = t.progress(now).String()
 	}
 	return nil
 }
 
-// Throttle sets a task's speed; zero halts it.
+// Throttle sets a task's speed in percent; zero halts the task.
 func (w *Worker) Throttle(epoch uint64, id string, percent int) error {
 	if percent < 0 || percent > fullSpeed {
 		return fault.New(fault.Invalid, "percent %d", percent)
@@ -61,7 +61,7 @@
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t, err := w.find(epoch, id, now)
+	t, err := w.findTask(epoch, id, now)
 	if err != nil || t.state != provider.TaskRunning {
 		return err
 	}
@@ -69,12 +69,13 @@
 	return nil
 }
 
-// Acknowledge forgets results. Unknown and running tasks are left.
+// Acknowledge removes ended tasks with their results. It ignores unknown and
+// running tasks.
 func (w *Worker) Acknowledge(epoch uint64, ids []string) error {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.enter(epoch, now); err != nil {
+	if err := w.checkEpoch(epoch, now); err != nil {
 		return err
 	}
 	for _, id := range ids {
@@ -85,21 +86,21 @@
 	return nil
 }
 
-// settle brings the worker up to now: tasks end, and usage is measured, in
-// the order of their times.
-func (w *Worker) settle(now time.Time) {
-	w.skipSamples(now)
+// advance advances the worker's state to now: it ends tasks and measures usage in
+// order of time.
+func (w *Worker) advance(now time.Time) {
+	w.skipOldSamples(now)
 	for {
 		t, at, finished := w.nextEnd()
-		sampleAt := w.sampled.Add(w.interval)
+		sampleAt := w.lastSampleAt.Add(w.interval)
 		if !sampleAt.After(now) && (t == nil || !sampleAt.After(at)) {
-			w.sample(sampleAt)
+			w.takeSample(sampleAt)
 			continue
 		}
 		if t == nil || at.After(now) {
 			break
 		}
-		w.endByItself(t, at, finished)
+		w.endOnTime(t, at, finished)
 	}
 	for _, t := range w.tasks {
 		if t.isBatch() && t.state == provider.TaskRunning {
@@ -113,7 +114,7 @@
 		if !t.isBatch() || t.state != provider.TaskRunning {
 			continue
 		}
-		end, byItself := t.next()
+		end, byItself := t.nextEnd()
 		if next == nil || end.Before(at) {
 			next, at, finished = t, end, byItself
 		}
@@ -121,29 +122,29 @@
 	return next, at, finished
 }
 
-func (w *Worker) endByItself(t *task, at time.Time, finished bool) {
+func (w *Worker) endOnTime(t *task, at time.Time, finished bool) {
 	switch {
 	case !finished:
-		w.end(t, at, provider.TaskStopped, "task lease ended")
+		w.endTask(t, at, provider.TaskStopped, "task lease ended")
 	case t.program.failure != "":
-		w.end(t, at, provider.TaskFailed, t.program.failure)
+		w.endTask(t, at, provider.TaskFailed, t.program.failure)
 	default:
-		w.end(t, at, provider.TaskDone, "")
+		w.endTask(t, at, provider.TaskDone, "")
 		t.result = "done on " + w.id
 	}
 }
 
-func (w *Worker) end(t *task, at time.Time, state provider.TaskState, reason string) {
+func (w *Worker) endTask(t *task, at time.Time, state provider.TaskState, reason string) {
 	if t.isBatch() {
 		t.checkpoint = t.lastCheckpoint(at, w.checkpoint)
 	}
 	t.state = state
 	t.reason = reason
-	w.ledger.end(t, at)
+	w.ledger.recordEnd(t, at)
 }
 
-func (w *Worker) find(epoch uint64, id string, now time.Time) (*task, error) {
-	if err := w.enter(epoch, now); err != nil {
+func (w *Worker) findTask(epoch uint64, id string, now time.Time) (*task, error) {
+	if err := w.checkEpoch(epoch, now); err != nil {
 		return nil, err
 	}
 	t, ok := w.tasks[id]
@@ -153,14 +154,14 @@
 	return t, nil
 }
 
-func (w *Worker) program(spec provider.TaskSpec, fails bool) program {
+func (w *Worker) programOf(spec provider.TaskSpec, fails bool) program {
 	if fails {
-		return failing("worker " + w.id + " fails everything")
+		return failingProgram("worker " + w.id + " fails everything")
 	}
-	return compile(spec, w.id)
+	return parseProgram(spec, w.id)
 }
 
-func (w *Worker) checkRoom(spec provider.TaskSpec) error {
+func (w *Worker) checkCapacity(spec provider.TaskSpec) error {
 	if len(w.tasks) >= MaxTasks {
 		return fault.New(fault.Overloaded, "more than %d tasks held", MaxTasks)
 	}
@@ -176,16 +177,16 @@
 	return nil
 }
 
-func (w *Worker) running() []provider.Running {
+func (w *Worker) taskReports() []provider.Running {
 	held := make([]provider.Running, 0, len(w.tasks))
 	for _, t := range w.tasks {
-		held = append(held, t.running())
+		held = append(held, t.report())
 	}
 	slices.SortFunc(held, func(a, b provider.Running) int { return strings.Compare(a.ID, b.ID) })
 	return held
 }
 
-func checkHeld(held *task, spec provider.TaskSpec) error {
+func checkSameAttempt(held *task, spec provider.TaskSpec) error {
 	if held.spec.Attempt == spec.Attempt {
 		return nil
 	}
--- a/standin/worker/usage.go
+++ b/standin/worker/usage.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxSamples   = 130  // intervals kept; a longer lag shows nothing
-	maxLatencies = 1024 // of a replica in an interval
-	tail         = 0.99
+	maxSamples   = 130  // intervals kept; with a longer lag reports show no usage
+	maxLatencies = 1024 // of one replica in one interval
+	tailQuantile = 0.99
 )
 
 // sample is the usage of all tasks over the interval that ended at a time.
@@ -19,14 +19,15 @@
 	usage []provider.Usage
 }
 
-// traffic is what a service replica answered in the present interval.
+// traffic holds the requests that a service replica is answering, and those
+// answered in the current interval.
 type traffic struct {
-	busy      int // requests in a slot now
+	busySlots int // requests in a slot now
 	requests  int
 	latencies []time.Duration
 }
 
-func (t *traffic) answered(latency time.Duration) {
+func (t *traffic) recordAnswer(latency time.Duration) {
 	t.requests++
 	if len(t.latencies) < maxLatencies {
 		t.latencies = append(t.latencies, latency)
@@ -38,10 +39,10 @@
 		return 0
 	}
 	slices.Sort(t.latencies)
-	return t.latencies[int(float64(len(t.latencies)-1)*tail)]
+	return t.latencies[int(float64(len(t.latencies)-1)*tailQuantile)]
 }
 
-func (w *Worker) sample(at time.Time) {
+func (w *Worker) takeSample(at time.Time) {
 	s := sample{at: at}
 	for _, t := range w.tasks {
 		if t.state != provider.TaskRunning {
@@ -59,22 +60,23 @@
 		t.traffic.requests = 0
 		t.traffic.latencies = t.traffic.latencies[:0]
 	}
-	w.sampled = at
+	w.lastSampleAt = at
 	w.samples = append(w.samples, s)
 	if len(w.samples) > maxSamples {
 		w.samples = w.samples[1:]
 	}
 }
 
-// skipSamples bounds the intervals to catch up after a long silence.
-func (w *Worker) skipSamples(now time.Time) {
-	if earliest := now.Add(-w.interval * maxSamples); w.sampled.Before(earliest) {
-		w.sampled = earliest
+// skipOldSamples bounds the number of samples to make up for when the worker's state
+// wasn't advanced for a long time.
+func (w *Worker) skipOldSamples(now time.Time) {
+	if earliest := now.Add(-w.interval * maxSamples); w.lastSampleAt.Before(earliest) {
+		w.lastSampleAt = earliest
 	}
 }
 
-// usage returns the newest measurements made by a time.
-func (w *Worker) usage(until time.Time) []provider.Usage {
+// usageAt returns the newest measurements that were made at or before a time.
+func (w *Worker) usageAt(until time.Time) []provider.Usage {
 	for _, s := range slices.Backward(w.samples) {
 		if !s.at.After(until) {
 			return s.usage
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,6 @@
 // Package worker is a stand-in of a platform worker: it grants an exclusive
-// lease, runs tasks under leases as timers, and answers requests of the
-// service replicas it runs.
+// lease, simulates tasks under leases as timers, and answers requests to the
+// service replicas that it runs.
 //
 // Usage:
 //
@@ -11,28 +11,28 @@
 //
 // Requests, besides those of package client/wire:
 //
-//	GET /ledger         what ran here, see Ledger
+//	GET /ledger         what ran on the worker, see Ledger
 //	GET, PUT /faults    see package faults
 //
-// The lease is never taken from its holder: another one's Acquire is refused
-// with fault.Conflict until it ends. Its own holder gets a new epoch at once.
-// The lease of a batch task ends at the later of the worker lease's end, as
-// it stood when the task was started, and what LeaseRequest.Tasks extended it
-// to; the task is stopped then. Service replicas have no lease of their own,
-// but answer only requests that carry the epoch in force.
+// The lease can't be preempted: an Acquire of another holder is refused with
+// fault.Conflict until the lease ends. An Acquire of its holder gets a new epoch
+// at once. The lease of a batch task ends at the end of the worker's lease as of
+// the task's start or at the time that LeaseRequest.Tasks extended it to,
+// whichever is later; the task is stopped then. Service replicas have no lease of
+// their own, but answer only requests that carry the epoch in force.
 //
-// A replica serves the service named by its task ID up to the first slash. A
+// The task ID of a replica up to the first slash is the name of its service. A
 // batch task's command is one of
 //
-//	sleep 2s            takes 2 s of work; no command takes the declared duration
-//	fail [1s]           fails, after so much work
-//	fail-here w1,w2 2s  fails on those workers, and takes 2 s on others
+//	sleep 2s            takes 2 s of work; without a command the declared duration
+//	fail [1s]           fails after this much work
+//	fail-here w1,w2 2s  fails on these workers, and takes 2 s of work on others
 //	never               runs until it is stopped
 //
-// and may end in use=1.5, the factor from declared to measured use.
+// and may end in use=1.5, the ratio of measured to declared usage.
 //
-// A request to a replica is shaped by its query: work=5ms (time in a slot),
-// delay=1s (before the answer, out of the slot), size=1MB, status=200,
+// The query of a request to a replica sets the answer's properties: work=5ms (time
+// in a slot), delay=1s (before the answer, without a slot), size=1MB, status=200,
 // truncate=true and nonce=, see package answer.
 package worker
 
@@ -51,9 +51,9 @@
 // Defaults and bounds.
 const (
 	DefaultSlots      = 8
-	DefaultInterval   = time.Second // of usage measurements
+	DefaultInterval   = time.Second // between usage measurements
 	DefaultLag        = 2 * time.Second
-	DefaultCheckpoint = time.Second // of work between checkpoints
+	DefaultCheckpoint = time.Second // work between checkpoints
 	MaxTasks          = 4096
 	MaxTTL            = time.Hour
 	minInterval       = 10 * time.Millisecond
@@ -61,24 +61,25 @@
 	maxWork           = 30 * 24 * time.Hour
 )
 
-// DefaultCapacity is what a worker holds unless told otherwise.
+// DefaultCapacity is the capacity of a worker without WithCapacity.
 var DefaultCapacity = resource.Vector{Processors: 64_000, Memory: 250 << 10}
 
 // Faults are the faults of a worker.
 type Faults struct {
 	faults.Common
-	Fail bool            `json:"fail,omitempty"` // everything started fails, every request answers status 500
-	Lag  faults.Duration `json:"lag,omitempty"`  // of usage, on top of the usual lag
+	Fail bool            `json:"fail,omitempty"` // every task that is started fails, every request is answered with status 500
+	Lag  faults.Duration `json:"lag,omitempty"`  // added to the configured lag of usage
 }
 
-// Interference is the slowdown, 1 for none, that a service of one group
-// meets from each running batch task of another: Interference[service][batch].
+// Interference holds the slowdowns of services by batch tasks:
+// Interference[service][batch] is the factor, 1 for none, by which each running
+// batch task of the group batch slows down a service of the group service.
 type Interference map[string]map[string]float64
 
-// Option changes a Worker.
+// Option configures a Worker.
 type Option func(*Worker)
 
-// Worker is one worker.
+// Worker is a simulated worker.
 type Worker struct {
 	*faults.Injector[Faults]
 	handler      http.Handler
@@ -92,17 +93,17 @@
 	checkpoint   time.Duration
 	initial      Faults
 
-	mu      sync.Mutex
-	lease   lease
-	tasks   map[string]*task
-	busy    int            // requests in a slot
-	inHand  map[string]int // requests by ID
-	sampled time.Time
-	samples []sample
-	ledger  *ledger
+	mu           sync.Mutex
+	lease        lease
+	tasks        map[string]*task
+	busySlots    int            // requests in a slot
+	inFlight     map[string]int // requests by ID
+	lastSampleAt time.Time      // end of the last usage interval
+	samples      []sample
+	ledger       *ledger
 }
 
-// New returns a worker that runs nothing.
+// New returns a Worker without tasks.
 func New(id string, opts ...Option) *Worker {
 	w := &Worker{
 		now:        time.Now,
@@ -113,13 +114,13 @@
 		lag:        DefaultLag,
 		checkpoint: DefaultCheckpoint,
 		tasks:      make(map[string]*task),
-		inHand:     make(map[string]int),
+		inFlight:   make(map[string]int),
 		ledger:     newLedger(id),
 	}
 	for _, opt := range opts {
 		opt(w)
 	}
-	w.sampled = w.now()
+	w.lastSampleAt = w.now()
 	w.Injector = faults.New(w.initial, w.now)
 	w.OnChange(w.changeFaults)
 	w.handler = w.Wrap(w.mux(), pathLedger)
@@ -131,7 +132,7 @@
 	return func(w *Worker) { w.now = now }
 }
 
-// WithCapacity sets what the worker holds.
+// WithCapacity sets the worker's capacity.
 func WithCapacity(v resource.Vector) Option {
 	return func(w *Worker) { w.capacity = v }
 }
@@ -141,18 +142,18 @@
 	return func(w *Worker) { w.slots = n }
 }
 
-// WithInterference sets how batch tasks slow services down.
+// WithInterference sets how batch tasks slow down services.
 func WithInterference(i Interference) Option {
 	return func(w *Worker) { w.interference = i }
 }
 
-// WithUsage sets how often usage is measured, and how much later a report
-// shows it.
+// WithUsage sets the interval of usage measurements and the lag until a report
+// contains them.
 func WithUsage(interval, lag time.Duration) Option {
 	return func(w *Worker) { w.interval, w.lag = max(interval, minInterval), lag }
 }
 
-// WithCheckpoint sets how much work lies between checkpoints of a batch task.
+// WithCheckpoint sets the amount of work between a batch task's checkpoints.
 func WithCheckpoint(work time.Duration) Option {
 	return func(w *Worker) { w.checkpoint = work }
 }
@@ -167,12 +168,12 @@
 	w.handler.ServeHTTP(rw, r)
 }
 
-// Serve answers requests on l until ctx ends or the worker dies.
+// Serve serves requests on l until ctx ends or the fault "dead" is set.
 func (w *Worker) Serve(ctx context.Context, l net.Listener) error {
 	return w.Injector.Serve(ctx, l, w)
 }
 
-// Instance returns the worker's line in the instance list.
+// Instance returns the worker's entry in the instance list.
 func (w *Worker) Instance(zone, rack, address string) provider.Instance {
 	return provider.Instance{
 		ID:               w.id,
@@ -186,22 +187,22 @@
 	}
 }
 
-// Report returns the worker's account of itself.
+// Report returns the worker's tasks and usage.
 func (w *Worker) Report() provider.Report {
 	now := w.now()
 	lag := w.lag + time.Duration(w.Get().Lag)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(now)
+	w.advance(now)
 	return provider.Report{
 		Worker: w.id,
 		Epoch:  w.lease.epoch,
-		Tasks:  w.running(),
-		Usage:  w.usage(now.Add(-lag)),
+		Tasks:  w.taskReports(),
+		Usage:  w.usageAt(now.Add(-lag)),
 	}
 }
 
-// changeFaults ends every task when the worker dies.
+// changeFaults stops all running tasks when the fault "dead" is set.
 func (w *Worker) changeFaults(f Faults) {
 	if !f.Dead {
 		return
@@ -209,10 +210,10 @@
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(now)
+	w.advance(now)
 	for _, t := range w.tasks {
 		if t.state == provider.TaskRunning {
-			w.end(t, now, provider.TaskStopped, "worker died")
+			w.endTask(t, now, provider.TaskStopped, "worker died")
 		}
 	}
 }
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -13,7 +13,7 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-// clock is a time source that moves when told to.
+// clock is a time source that the test advances.
 type clock struct {
 	at time.Time
 }
@@ -37,10 +37,10 @@
 	return provider.TaskSpec{ID: id, Kind: provider.KindBatch, Group: "batch", Attempt: attempt, Need: need, Command: command}
 }
 
-// Symptom: two entry instances start work on one worker.
-// Sequence: a holds the lease; b asks for it; a's lease lapses while a is
-// paused; b gets it; a goes on under its old epoch.
-// Cause: the lease is taken from its holder, or an old epoch is still honoured.
+// TestLeaseIsExclusive lets holder a's lease lapse, grants the lease to b, and
+// lets a continue under its old epoch. It guards against two entry instances that
+// start work on one worker, because the lease is preempted or an old epoch is
+// accepted.
 func TestLeaseIsExclusive(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -54,7 +54,7 @@
 
 	c.advance(4 * time.Second)
 	_, err = w.Renew(provider.LeaseRequest{Holder: "a", Epoch: a.Epoch, TTL: time.Second})
-	is.True(fault.Is(err, fault.StaleEpoch)) // lapsed, though nobody else has it
+	is.True(fault.Is(err, fault.StaleEpoch)) // lapsed, though there is no other holder
 
 	b := acquire(t, w, "b", 6*time.Second, 0)
 	is.True(b.Epoch > a.Epoch)
@@ -65,18 +65,16 @@
 	is.NoErr(err)
 	is.Equal(len(moved.Tasks), 1)
 	is.True(fault.Is(w.Stop(b.Epoch, "t", false), fault.StaleEpoch))
-	again := acquire(t, w, "d", time.Second, 0) // the holder itself may ask again
+	again := acquire(t, w, "d", time.Second, 0) // the holder itself may acquire again
 	is.True(again.Epoch > moved.Epoch)
 	is.NoErr(w.Release(again.Epoch))
 	acquire(t, w, "e", time.Second, 0)
 }
 
-// Symptom: a task goes on after its owner was given up and another worker
-// started it again.
-// Sequence: the owner extends task leases past the worker's lease and is cut
-// off; the worker's lease ends, later the tasks' lease.
-// Cause: the worker doesn't stop what a lapsed task lease covers, or stops it
-// with the worker's lease already.
+// TestTaskLeaseEnds extends the task leases past the worker's lease and cuts off
+// the owner. It guards against tasks that outlive their own lease, and so run
+// beside their restart on another worker, and against tasks that are stopped with
+// the worker's lease already.
 func TestTaskLeaseEnds(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -91,7 +89,7 @@
 	b := acquire(t, w, "b", 2*time.Second, 10*time.Second)
 	stopped := b.Tasks[0]
 	is.Equal(stopped.State, provider.TaskStopped)
-	is.Equal(stopped.Checkpoint, "10s") // it ran to its lease's end, no further
+	is.Equal(stopped.Checkpoint, "10s") // it ran exactly until its lease ended
 
 	is.True(fault.Is(w.Start(b.Epoch, batch("t", 2, "sleep 1m")), fault.Conflict)) // the result is still kept
 	is.NoErr(w.Acknowledge(b.Epoch, []string{"t"}))
@@ -99,18 +97,16 @@
 	resumed.Checkpoint = stopped.Checkpoint
 	is.NoErr(w.Start(b.Epoch, resumed))
 	c.advance(time.Second)
-	is.Equal(w.Report().Tasks[0].State, provider.TaskDone) // only the last second was left
+	is.Equal(w.Report().Tasks[0].State, provider.TaskDone) // one second of work was left after the checkpoint
 
-	account := w.Ledger().Tasks[0]
-	is.Equal(len(account.Runs), 2)
-	is.Equal(account.Runs[1].From, 10*time.Second)
-	is.Equal(account.Overlap, false)
+	taskRuns := w.Ledger().Tasks[0]
+	is.Equal(len(taskRuns.Runs), 2)
+	is.Equal(taskRuns.Runs[1].From, 10*time.Second)
+	is.Equal(taskRuns.Overlap, false)
 }
 
-// Symptom: the check at the end of a run finds nothing although a task ran in
-// two places.
-// Sequence: two workers run the same task, the second before the first ended.
-// Cause: each worker sees its own runs only.
+// TestMergeFindsOverlap checks that runs of one task that overlap on two workers
+// are found in the merged ledger, since each worker's own ledger shows no overlap.
 func TestMergeFindsOverlap(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -178,9 +174,9 @@
 	is.True(fault.Is(w.Start(lease.Epoch, accelerated), fault.Overloaded))
 }
 
-// Symptom: a scheduler blames the wrong pair of tasks.
-// Sequence: usage is measured, a task is started, the report arrives.
-// Cause: the report shows what runs now, not what ran when it was measured.
+// TestUsageLags starts a task between a usage measurement and the report. The
+// report has to show the tasks that ran at the measurement; showing those that
+// run now would make a scheduler attribute interference to the wrong pair of tasks.
 func TestUsageLags(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
