--- a/dogwoodladder.go
+++ b/dogwoodladder.go
@@ -8,10 +8,10 @@
 //		return err
 //	}
 //	instance := dogwoodladder.New(*settings, dogwoodladder.WithLogger(logger))
-//	err = instance.Run(ctx) // until ctx is done and everything was handed over
+//	err = instance.Run(ctx) // returns after ctx is done and the workers are handed over
 //
-// This package is only the front door; the packages beside it are the
-// architecture. From the inside out:
+// This package only wraps package daemon for embedding. The other packages form
+// layers, from the inside out:
 //
 //   - Contracts are plain data and interfaces: resource, fault, record,
 //     provider and route.
@@ -20,15 +20,15 @@
 //     rendezvous, admission, balancer, limit, budget, forward. Configuration:
 //     document, manifest, revision. Instances: member, message. Interference: usage,
 //     interference, placement, mitigation. Package chart interprets the state
-//     charts, and package controller puts the decisions together. Each can be
-//     embedded alone.
-//   - Adapters carry decisions out: client, conduit, peer, gateway and
+//     charts, and package controller combines the decisions. Each can be used
+//     alone.
+//   - Adapters execute decisions: client, conduit, peer, gateway and
 //     daemon, with the process's settings in package setting.
 //   - Stand-ins of the platform, under standin, and package demo serve tests
-//     and trials. Nothing above imports them.
+//     and trials. No package of the layers above imports them.
 //
-// The file testdata/layers.txt holds these layers and a test holds the code
-// to them.
+// The file testdata/layers.txt lists the layers, and a test checks the imports
+// against it.
 package dogwoodladder
 
 import (
@@ -41,12 +41,12 @@
 	"github.com/dogwoodladder/dogwoodladder/setting"
 )
 
-// Instance is one entry instance of the scheduler. It is run once.
+// Instance is one entry instance of the scheduler. Run may be called only once.
 type Instance interface {
-	// Listen opens the listeners and returns their addresses. Run does so
-	// too, when it wasn't done before.
+	// Listen opens the listeners and returns their addresses. Run calls it if
+	// it wasn't called before.
 	Listen() (daemon.Addresses, error)
-	// Run serves until ctx is done, then hands everything over and stops.
+	// Run serves until ctx is done, then hands over the workers and stops.
 	Run(ctx context.Context) error
 	// Dump returns the whole state as readable text. It may be called while
 	// Run runs.
@@ -56,7 +56,7 @@
 	Vars() *expvar.Map
 }
 
-// Option sets up an Instance.
+// Option configures an Instance.
 type Option = daemon.Option
 
 // New returns a new Instance for the given settings.
@@ -64,7 +64,7 @@
 	return daemon.New(settings, opts...)
 }
 
-// WithLogger sets where events go; the default drops them.
+// WithLogger sets the logger of events; the default discards them.
 func WithLogger(l *zap.Logger) Option {
 	return daemon.WithLogger(l)
 }
--- a/example_test.go
+++ b/example_test.go
@@ -17,7 +17,7 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// An instance runs within any process until the process is told to stop.
+// An instance runs within any process, here until SIGTERM.
 func Example() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -37,8 +37,8 @@
 	}
 }
 
-// A decision package runs alone: here the state of a zone's batch work, from
-// records that may come from anywhere. What breaks a rule is void.
+// A decision package can be used alone: here the state of a zone's batch work,
+// built from records of any source. A record that breaks a rule is void.
 func Example_decision() {
 	state := zone.New("kurasini")
 	writer := record.Writer{ID: "kurasini-1", Incarnation: 1}
--- a/imports_test.go
+++ b/imports_test.go
@@ -15,49 +15,49 @@
 
 const module = "github.com/dogwoodladder/dogwoodladder"
 
-// layers is what testdata/layers.txt says.
+// layers is the parsed content of testdata/layers.txt.
 type layers struct {
-	names    []string
-	packages map[string]int // pattern to layer
-	pure     map[int][]string
+	names     []string
+	packages  map[string]int // pattern to layer
+	forbidden map[int][]string
 }
 
-// TestImports holds the direction of imports to testdata/layers.txt. Imports
-// of tests are left out.
+// TestImports checks the direction of imports against testdata/layers.txt.
+// Imports of tests are exempt.
 func TestImports(t *testing.T) {
 	is := is.New(t)
 	l := readLayers(t)
-	packages := list(t)
+	packages := listImports(t)
 	is.True(len(packages) > 0)
 	for path, imports := range packages {
-		layer, ok := l.of(path)
+		layer, ok := l.layerOf(path)
 		if !ok {
 			t.Errorf("%s is in no layer", path)
 			continue
 		}
 		for _, i := range imports {
-			l.check(t, path, layer, i)
+			l.checkImport(t, path, layer, i)
 		}
 	}
 }
 
-func (l *layers) check(t *testing.T, path string, layer int, imported string) {
+func (l *layers) checkImport(t *testing.T, path string, layer int, imported string) {
 	t.Helper()
 	inner, local := strings.CutPrefix(imported, module)
 	if !local {
-		if slices.Contains(l.pure[layer], imported) {
+		if slices.Contains(l.forbidden[layer], imported) {
 			t.Errorf("%s, one of the %s, imports %s", path, l.names[layer], imported)
 		}
 		return
 	}
-	to, ok := l.of(strings.TrimPrefix(inner, "/"))
+	to, ok := l.layerOf(strings.TrimPrefix(inner, "/"))
 	if ok && to > layer {
 		t.Errorf("%s, one of the %s, imports %s, one of the %s", path, l.names[layer], strings.TrimPrefix(inner, "/"), l.names[to])
 	}
 }
 
-// of returns the layer of a package, named by its path in the module.
-func (l *layers) of(path string) (int, bool) {
+// layerOf returns the layer of a package, named by its path in the module.
+func (l *layers) layerOf(path string) (int, bool) {
 	if path == "" {
 		path = "."
 	}
@@ -77,7 +77,7 @@
 	t.Helper()
 	data, err := os.ReadFile("testdata/layers.txt")
 	is.New(t).NoErr(err)
-	l := &layers{packages: make(map[string]int), pure: make(map[int][]string)}
+	l := &layers{packages: make(map[string]int), forbidden: make(map[int][]string)}
 	for line := range strings.Lines(string(data)) {
 		head, rest, found := strings.Cut(line, ":")
 		if strings.HasPrefix(line, "#") || !found {
@@ -91,7 +91,7 @@
 				l.packages[p] = len(l.names) - 1
 			}
 		case "pure":
-			l.pure[slices.Index(l.names, name)] = strings.Fields(rest)
+			l.forbidden[slices.Index(l.names, name)] = strings.Fields(rest)
 		default:
 			t.Fatalf("layers.txt: %q", line)
 		}
@@ -99,9 +99,9 @@
 	return l
 }
 
-// list returns the imports of every package of the module, by its path
+// listImports returns the imports of every package of the module, by its path
 // within the module.
-func list(t *testing.T) map[string][]string {
+func listImports(t *testing.T) map[string][]string {
 	t.Helper()
 	is := is.New(t)
 	out, err := exec.Command("go", "list", "-json=ImportPath,Imports", "./...").Output()
--- a/promises_test.go
+++ b/promises_test.go
@@ -16,10 +16,10 @@
 
 const promisesFile = "docs/PROMISES.md"
 
-// promiseRows is how many rows each table of the promises has to have at
-// least, by the letter of their numbers. A fault or promise that is left out
-// would otherwise go unnoticed.
-var promiseRows = map[string]int{"P": 14, "F": 22, "X": 24}
+// minPromiseRows is the minimum number of rows of each table of the promises, by
+// the letter of their numbers. Without it a fault or promise could be dropped
+// unnoticed.
+var minPromiseRows = map[string]int{"P": 14, "F": 22, "X": 24}
 
 // caseFiles are the files that subtests are named after.
 var caseFiles = map[string]string{
@@ -41,9 +41,9 @@
 	number, claim, mechanism, proof, status, missing string
 }
 
-// TestPromises holds docs/PROMISES.md to what there is: each row has a
-// mechanism, a proof and a status, and each proof names tests, case files and
-// properties of the specification that exist.
+// TestPromises checks docs/PROMISES.md: each row has a mechanism, a proof and a
+// status, and each proof names existing tests, case files and properties of the
+// specification.
 func TestPromises(t *testing.T) {
 	rows := readPromises(t)
 	counts := map[string]int{}
@@ -54,7 +54,7 @@
 		}
 		t.Run(row.number, row.check)
 	}
-	for letter, least := range promiseRows {
+	for letter, least := range minPromiseRows {
 		if counts[letter] < least {
 			t.Errorf("%d rows %s, want at least %d", counts[letter], letter, least)
 		}
@@ -85,7 +85,8 @@
 	}
 }
 
-// findProof returns an error unless what a command or name stands for exists.
+// findProof returns an error unless the test, case file, property or command
+// that a proof names exists.
 func findProof(text string) error {
 	if m := testCommand.FindStringSubmatch(text); m != nil {
 		return findTest(m[1], m[2])
@@ -122,7 +123,7 @@
 	return findFile(fmt.Sprintf(pattern, sub))
 }
 
-// hasFunc reports whether the tests of a package hold a function.
+// hasFunc reports whether the test files of a package declare a function.
 func hasFunc(dir, name string) (bool, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
--- a/sites_test.go
+++ b/sites_test.go
@@ -12,13 +12,13 @@
 	"github.com/matryer/is"
 )
 
-// mayNameSites are the folders whose code may speak of users' sites: the
-// adapter, and what plays the users' loads.
-var mayNameSites = []string{"platform", "bench", "demo", "docs", "journal", "deploy", ".git"}
+// siteNamesAllowed are the folders that may contain names of users' sites: the
+// adapter, the simulations of users' loads, and pages.
+var siteNamesAllowed = []string{"platform", "bench", "demo", "docs", "journal", "deploy", ".git"}
 
-// Symptom: a site that nobody has seen is served worse than those that were
-// measured. Sequence: a threshold or a branch is chosen for one of them by its
-// name. Cause: nothing kept names of sites out of what decides.
+// TestNoSiteIsNamed guards against thresholds and branches that are chosen by
+// the name of a known site, which would serve unknown sites worse than the
+// measured ones.
 func TestNoSiteIsNamed(t *testing.T) {
 	is := is.New(t)
 	names := siteNames(t)
@@ -28,7 +28,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && slices.Contains(mayNameSites, path):
+		case d.IsDir() && slices.Contains(siteNamesAllowed, path):
 			return filepath.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
