--- a/daemon/control.go
+++ b/daemon/control.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// process runs an op on the control goroutine and signals its end.
 func (d *Daemon) process(op controlOp) {
 	if op.run != nil {
 		op.run(d.control)
@@ -50,6 +51,8 @@
 	}
 }
 
+// step passes an input to the controller, performs the resulting actions, and
+// updates the offsets to read from.
 func (d *Daemon) step(in controller.Input) {
 	for _, a := range d.control.Step(time.Now(), in) {
 		d.performAction(a)
@@ -77,6 +80,8 @@
 	return d.submit(controlOp{run: f, done: make(chan struct{})})
 }
 
+// submit passes an op to the control goroutine, waits for its end, and reports
+// whether it was processed, which it isn't when the daemon stops.
 func (d *Daemon) submit(op controlOp) bool {
 	select {
 	case d.inputs <- op:
--- a/demo/begin.go
+++ b/demo/begin.go
@@ -31,8 +31,8 @@
 	return s.waitUntil(ctx, startTimeout, "service answers everywhere", s.serviceReady)
 }
 
-// membershipComplete reports whether every instance is ready, sees all instances live and
-// knows its zone's workers.
+// membershipComplete reports whether every instance is ready, sees all instances
+// live and knows its zone's workers.
 func (s *scenario) membershipComplete(ctx context.Context) bool {
 	for _, in := range s.site.running() {
 		status, err := in.operator.status(ctx)
--- a/demo/change.go
+++ b/demo/change.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// applyConcurrently lets two operators replace the same revision at the same time, and checks
-// that exactly one of them is accepted.
+// applyConcurrently lets two operators replace the same revision at the same
+// time, and checks that exactly one of them is accepted.
 func (s *scenario) applyConcurrently(ctx context.Context) error {
 	base := strconv.FormatUint(s.revision, 10)
 	type result struct {
--- a/standin/caller/audit.go
+++ b/standin/caller/audit.go
@@ -5,12 +5,12 @@
 // Audit compares the outcomes reported to callers with how often each nonce ran
 // on all workers together, and returns a line for each violated guarantee.
 func Audit(tries []Try, runs map[string]int) []string {
-	var broken []string
+	var violations []string
 	runsByRequest := make(map[string]int)
 	for _, t := range tries {
 		ran := runs[t.Nonce]
 		runsByRequest[t.Request] += ran
-		broken = append(broken, auditTry(t, ran)...)
+		violations = append(violations, auditTry(t, ran)...)
 	}
 	reported := make(map[string]bool)
 	for _, t := range tries {
@@ -18,9 +18,9 @@
 			continue
 		}
 		reported[t.Request] = true
-		broken = append(broken, fmt.Sprintf("request=%s ran=%d, not idempotent", t.Request, runsByRequest[t.Request]))
+		violations = append(violations, fmt.Sprintf("request=%s ran=%d, not idempotent", t.Request, runsByRequest[t.Request]))
 	}
-	return broken
+	return violations
 }
 
 func auditTry(t Try, ran int) []string {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -104,8 +104,8 @@
 }
 
 // WithWrites sets the fraction of requests that are not idempotent, 0 to 1.
-func WithWrites(part float64) Option {
-	return func(c *Caller) { c.writeFraction = part }
+func WithWrites(fraction float64) Option {
+	return func(c *Caller) { c.writeFraction = fraction }
 }
 
 // WithWork sets how long each request takes in a worker's slot.
--- a/standin/caller/recorder.go
+++ b/standin/caller/recorder.go
@@ -75,63 +75,63 @@
 	}
 }
 
-func (t *recorder) countSkipped() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.skipped++
+func (r *recorder) countSkipped() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.skipped++
 }
 
-func (t *recorder) recordTry(try Try, kind string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *recorder) recordTry(try Try, kind string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if kind != "" {
-		t.kinds[kind]++
+		r.kinds[kind]++
 	}
-	if len(t.tries) >= MaxTriesKept {
-		t.triesDropped++
+	if len(r.tries) >= MaxTriesKept {
+		r.triesDropped++
 		return
 	}
-	t.tries = append(t.tries, try)
+	r.tries = append(r.tries, try)
 }
 
-func (t *recorder) recordEnd(o Outcome, latency time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.outcomes[o]++
-	t.intervalEnded++
+func (r *recorder) recordEnd(o Outcome, latency time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outcomes[o]++
+	r.intervalEnded++
 	if o != Answered {
 		return
 	}
 	micros := min(latency.Microseconds(), maxLatencyMicros)
-	_ = t.total.RecordValue(micros) // within range
-	_ = t.recent.RecordValue(micros)
+	_ = r.total.RecordValue(micros) // within range
+	_ = r.recent.RecordValue(micros)
 }
 
-func (t *recorder) intervalLine(at time.Duration) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *recorder) intervalLine(at time.Duration) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	line := fmt.Sprintf("event=interval at=%v ended=%d answered=%d p50=%v p99=%v max=%v",
-		at.Round(time.Millisecond), t.intervalEnded, t.recent.TotalCount(),
-		quantile(t.recent, 50), quantile(t.recent, 99), quantile(t.recent, 100))
-	t.recent.Reset()
-	t.intervalEnded = 0
+		at.Round(time.Millisecond), r.intervalEnded, r.recent.TotalCount(),
+		quantile(r.recent, 50), quantile(r.recent, 99), quantile(r.recent, 100))
+	r.recent.Reset()
+	r.intervalEnded = 0
 	return line
 }
 
-func (t *recorder) summary(elapsed time.Duration) Summary {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *recorder) summary(elapsed time.Duration) Summary {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return Summary{
 		Elapsed:      elapsed,
-		Outcomes:     maps.Clone(t.outcomes),
-		Kinds:        maps.Clone(t.kinds),
-		Skipped:      t.skipped,
-		P50:          quantile(t.total, 50),
-		P99:          quantile(t.total, 99),
-		P999:         quantile(t.total, 99.9),
-		Max:          quantile(t.total, 100),
-		Tries:        slices.Clone(t.tries),
-		TriesDropped: t.triesDropped,
+		Outcomes:     maps.Clone(r.outcomes),
+		Kinds:        maps.Clone(r.kinds),
+		Skipped:      r.skipped,
+		P50:          quantile(r.total, 50),
+		P99:          quantile(r.total, 99),
+		P999:         quantile(r.total, 99.9),
+		Max:          quantile(r.total, 100),
+		Tries:        slices.Clone(r.tries),
+		TriesDropped: r.triesDropped,
 	}
 }
 
--- a/standin/caller/request.go
+++ b/standin/caller/request.go
@@ -135,8 +135,8 @@
 	return request.WithContext(ctx)
 }
 
-// classifyAnswer determines the outcome of an answer. An answer without the fault header
-// comes from the service itself.
+// classifyAnswer determines the outcome of an answer. An answer without the fault
+// header comes from the service itself.
 func classifyAnswer(response *http.Response, expected answer.Answer) result {
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(len(expected.Bytes()))+wire.MaxRefusal))
 	if name := response.Header.Get(wire.HeaderFault); name != "" {
--- a/standin/faults/injector.go
+++ b/standin/faults/injector.go
@@ -114,13 +114,15 @@
 	return i.pausedUntil.Sub(i.now())
 }
 
-func (i *Injector[F]) drawsLoss(part float64) bool {
-	if part <= 0 {
+// drawsLoss decides at random, with the given probability, whether an answer is
+// lost.
+func (i *Injector[F]) drawsLoss(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.random.Float64() < part
+	return i.random.Float64() < probability
 }
 
 // serveFaults handles GET and PUT of /faults.
--- a/standin/worker/service.go
+++ b/standin/worker/service.go
@@ -197,11 +197,11 @@
 	if header == "" {
 		return nil
 	}
-	left, err := strconv.ParseInt(header, 10, 64)
+	remainingMs, err := strconv.ParseInt(header, 10, 64)
 	if err != nil {
 		return fault.New(fault.Invalid, "header %s %q", wire.HeaderDeadline, header)
 	}
-	if left <= 0 {
+	if remainingMs <= 0 {
 		return fault.New(fault.DeadlinePassed, "no time left")
 	}
 	return nil
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -122,6 +122,8 @@
 	return next, at, finished
 }
 
+// endOnTime ends a task at its computed end. If its program finished, the task
+// has failed or is done; otherwise it is stopped because its lease ended.
 func (w *Worker) endOnTime(t *task, at time.Time, finished bool) {
 	switch {
 	case !finished:
