--- a/bench/quick/baseline.go
+++ b/bench/quick/baseline.go
@@ -7,82 +7,83 @@
 	"github.com/dogwoodladder/dogwoodladder/balancer"
 )
 
-// patience is how long the unlimited retries wait for each try.
-const patience = 200 * time.Millisecond
-
-// plain is a baseline: every instance sends to every worker, without limits
-// and without deadlines.
-type plain struct {
-	fake   *fake
-	listed []int
-	choose func(p *plain, instance int) int
-	retry  bool
-	turn   []int   // of round robin, by instance
-	held   [][]int // requests in flight by instance and worker, old and new
+// retryTimeout is the timeout of each attempt of the baseline with unlimited
+// retries.
+const retryTimeout = 200 * time.Millisecond
+
+// baseline is a policy to compare with: every instance sends to every worker,
+// without limits and deadlines.
+type baseline struct {
+	fake      *fake
+	listed    []int
+	choose    func(p *baseline, instance int) int
+	retry     bool
+	nextIndex []int   // of round robin, by instance
+	inFlight  [][]int // by instance and worker, with space for workers added later
 }
 
-// newPlain returns a maker of a baseline.
-func newPlain(choose func(p *plain, instance int) int, retry bool) maker {
+// newBaseline returns a factory of a baseline.
+func newBaseline(choose func(p *baseline, instance int) int, retry bool) policyFactory {
 	return func(f *fake, _ *scenario, _ uint64) policy {
-		p := &plain{fake: f, choose: choose, retry: retry, turn: make([]int, len(f.zones))}
+		p := &baseline{fake: f, choose: choose, retry: retry, nextIndex: make([]int, len(f.zones))}
 		for range f.zones {
-			p.held = append(p.held, make([]int, 2*len(f.workers)))
+			p.inFlight = append(p.inFlight, make([]int, 2*len(f.workers)))
 		}
 		if retry {
-			f.notice = patience
+			f.silenceTimeout = retryTimeout
 		}
-		p.list(allWorkers(f))
+		p.setWorkers(allWorkers(f))
 		return p
 	}
 }
 
-func roundRobin(p *plain, instance int) int {
-	p.turn[instance]++
-	return p.listed[p.turn[instance]%len(p.listed)]
+func roundRobin(p *baseline, instance int) int {
+	p.nextIndex[instance]++
+	return p.listed[p.nextIndex[instance]%len(p.listed)]
 }
 
-func atRandom(p *plain, _ int) int {
+func randomWorker(p *baseline, _ int) int {
 	return p.listed[p.fake.random.IntN(len(p.listed))]
 }
 
-func leastLoaded(p *plain, instance int) int {
+func leastLoaded(p *baseline, instance int) int {
 	start := p.fake.random.IntN(len(p.listed))
 	best := p.listed[start]
 	for i := range p.listed {
 		w := p.listed[(start+i)%len(p.listed)]
-		if p.held[instance][w] < p.held[instance][best] {
+		if p.inFlight[instance][w] < p.inFlight[instance][best] {
 			best = w
 		}
 	}
 	return best
 }
 
-func (p *plain) list(workers []int) {
+func (p *baseline) setWorkers(workers []int) {
 	p.listed = slices.Clone(workers)
 }
 
-func (p *plain) arrive(r *request) {
+func (p *baseline) handleRequest(r *request) {
 	p.send(r)
 }
 
-func (p *plain) send(r *request) {
-	a := &attempt{request: r, instance: r.instance, worker: p.choose(p, r.instance), answer: p.answer}
-	p.held[a.instance][a.worker]++
+func (p *baseline) send(r *request) {
+	a := &attempt{request: r, instance: r.instance, worker: p.choose(p, r.instance), onAnswer: p.answer}
+	p.inFlight[a.instance][a.worker]++
 	p.fake.send(a)
 	if p.retry {
-		p.fake.after(patience, func() { p.timeout(a) })
+		p.fake.after(retryTimeout, func() { p.timeout(a) })
 	}
 }
 
-func (p *plain) timeout(a *attempt) {
+func (p *baseline) timeout(a *attempt) {
 	if !a.closed {
 		p.answer(a, balancer.Lost)
 	}
 }
 
-func (p *plain) answer(a *attempt, result balancer.Result) {
+func (p *baseline) answer(a *attempt, result balancer.Result) {
 	a.closed = true
-	p.held[a.instance][a.worker]--
+	p.inFlight[a.instance][a.worker]--
 	if result != balancer.OK && p.retry {
 		p.send(a.request)
 		return
@@ -90,8 +91,8 @@
 	p.fake.finish(a.request, endingOf(result))
 }
 
-// ideal is one queue in front of all slots, fed the same requests: no
-// instance knows less than everything. A slot is held for the time of service
+// ideal is a reference with complete knowledge: a single queue in front of all
+// slots, fed the same requests. A request occupies a slot for its service time
 // only.
 type ideal struct {
 	fake    *fake
@@ -103,9 +104,9 @@
 	return &ideal{fake: f, free: len(f.workers) * f.slots}
 }
 
-func (q *ideal) list([]int) {}
+func (q *ideal) setWorkers([]int) {}
 
-func (q *ideal) arrive(r *request) {
+func (q *ideal) handleRequest(r *request) {
 	if q.free == 0 {
 		q.backlog = append(q.backlog, r)
 		return
@@ -115,8 +116,8 @@
 }
 
 func (q *ideal) start(r *request) {
-	q.fake.after(r.work, func() {
-		q.fake.after(2*nearDelay, func() { q.fake.finish(r, answered) })
+	q.fake.after(r.serviceTime, func() {
+		q.fake.after(2*sameZoneDelay, func() { q.fake.finish(r, answered) })
 		if len(q.backlog) == 0 {
 			q.free++
 			return
--- a/bench/quick/case.go
+++ b/bench/quick/case.go
@@ -9,39 +9,40 @@
 	"github.com/dogwoodladder/dogwoodladder/limit"
 )
 
-// Names that a Report compares.
+// Names and sizes of the compared scenarios and policies.
 const (
-	systemName   = "dogwoodladder"
-	idealName    = "ideal queue"
-	faultLoad    = 0.8
-	narrowCores  = 5
-	neighbour    = 0.3 // load of the quiet group
-	neighbourMax = 1.7 // load of the other group
+	systemName    = "dogwoodladder"
+	idealName     = "ideal queue"
+	faultLoad     = 0.8
+	fewCoresCount = 5
+	quietLoad     = 0.3 // of the quiet group
+	otherLoad     = 1.7 // of the overloading group
 )
 
 // variant is a policy with its name.
 type variant struct {
-	name string
-	make maker
+	name      string
+	newPolicy policyFactory
 }
 
-// testCase is a scenario and the policies that are run on it.
+// testCase is a scenario and the policies to run on it.
 type testCase struct {
-	make     func() *scenario
-	variants []variant
+	newScenario func() *scenario
+	variants    []variant
 }
 
 var (
 	current   = variant{systemName, newSystem(settings{})}
 	baselines = []variant{
-		{"round robin, no limits", newPlain(roundRobin, false)},
-		{"random, unlimited retries", newPlain(atRandom, true)},
-		{"least loaded, no limits", newPlain(leastLoaded, false)},
+		{"round robin, no limits", newBaseline(roundRobin, false)},
+		{"random, unlimited retries", newBaseline(randomWorker, true)},
+		{"least loaded, no limits", newBaseline(leastLoaded, false)},
 	}
-	central = variant{idealName, newIdeal}
+	idealQueue = variant{idealName, newIdeal}
 )
 
-// loads are the parts of the capacity that are offered without a fault.
+// loads are the arrival rates of the scenarios without a fault, as shares of
+// the capacity.
 var loads = []float64{0.5, 0.8, 0.95, 1.2, 2.0}
 
 // Names of the scenarios with a fault.
@@ -64,7 +65,7 @@
 	laggingName:    laggingList,
 }
 
-func faulty(name string) func() *scenario {
+func faultScenario(name string) func() *scenario {
 	return func() *scenario {
 		s := steady(faultLoad)
 		s.name = name
@@ -79,92 +80,92 @@
 		all = append(all, testCase{make, variants})
 	}
 	for _, l := range loads {
-		add(func() *scenario { return steady(l) }, append([]variant{current, central}, baselines...)...)
+		add(func() *scenario { return steady(l) }, append([]variant{current, idealQueue}, baselines...)...)
 	}
 	for _, name := range faultNames {
-		add(faulty(name), append([]variant{current}, baselines...)...)
+		add(faultScenario(name), append([]variant{current}, baselines...)...)
 	}
-	add(func() *scenario { return neighbours(0) }, current)
-	add(func() *scenario { return neighbours(neighbourMax) }, current)
-	add(narrow, current, unlimited)
+	add(func() *scenario { return quietGroup(0) }, current)
+	add(func() *scenario { return quietGroup(otherLoad) }, current)
+	add(fewCores, current, noLimit)
 	if trials {
-		all = append(all, weighed()...)
+		all = append(all, trialCases()...)
 	}
 	return all
 }
 
-// neighbours returns a scenario of a quiet group beside one of a given load.
-// Its latencies are the quiet group's.
-func neighbours(other float64) *scenario {
-	s := steady(neighbour)
+// quietGroup returns a scenario of a group with a low load beside another group
+// of a given load. It reports the latencies of the first.
+func quietGroup(other float64) *scenario {
+	s := steady(quietLoad)
 	s.name = "quiet group alone"
 	if other > 0 {
 		s.name = "quiet group beside overload"
 	}
-	s.parts = append(s.parts, part{service: "grade", group: "bureau", weight: 1, load: other})
-	s.watched = s.parts[0].service
+	s.serviceLoads = append(s.serviceLoads, serviceLoad{service: "grade", group: "bureau", weight: 1, load: other})
+	s.reportedService = s.serviceLoads[0].service
 	return s
 }
 
-// narrow returns an overload of workers that slow down beyond 5 requests
-// although they declare 8 slots.
-func narrow() *scenario {
+// fewCores returns an overload of workers that slow down above 5 concurrent
+// requests although they declare 8 slots.
+func fewCores() *scenario {
 	s := steady(1.2)
 	s.name = "5 cores behind 8 slots"
-	s.cores = narrowCores
-	s.length = 15 * time.Second
+	s.cores = fewCoresCount
+	s.duration = 15 * time.Second
 	return s
 }
 
-// unlimited has no adaptive limit.
-var unlimited = limited("no adaptive limit", limit.WithAlgorithm(limit.Off))
+// noLimit turns the adaptive limit off.
+var noLimit = withLimit("no adaptive limit", limit.WithAlgorithm(limit.Off))
 
-// Variants that were weighed against the current policy.
+// Variants of the policy with settings other than the default.
 var (
-	gradient   = limited("gradient limit", limit.WithAlgorithm(limit.Gradient))
-	aimd       = limited("AIMD limit", limit.WithAlgorithm(limit.AIMD))
-	strict     = limited("AIMD limit, tolerance 1.25", limit.WithAlgorithm(limit.AIMD), limit.WithTolerance(1.25))
-	fifo       = gated("FIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour))
-	lifo       = gated("LIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour), admission.WithDiscipline(admission.LIFO))
-	longer     = gated("standing wait 50 ms", admission.WithStanding(50*time.Millisecond, 100*time.Millisecond))
-	noHeadroom = gated("no headroom", admission.WithHeadroom(0))
-	two        = balanced("better of two", balancer.WithChoice(balancer.TwoChoices))
-	noSlow     = balanced("slow ones stay", balancer.WithSlowFactor(0))
-	half       = balanced("at most half ejected", balancer.WithEjectedPart(0.5, 0.5))
-	alone      = variant{"no forwarding", newSystem(settings{alone: true})}
-	stale      = variant{"free slots by heartbeat only", newSystem(settings{stale: true})}
-	noAgain    = variant{"full peers not asked again", newSystem(settings{forward: []forward.Option{forward.WithAgain(0)}})}
-	hedging    = variant{"hedging", newSystem(settings{hedge: true})}
+	gradient       = withLimit("gradient limit", limit.WithAlgorithm(limit.Gradient))
+	aimd           = withLimit("AIMD limit", limit.WithAlgorithm(limit.AIMD))
+	aimdStrict     = withLimit("AIMD limit, tolerance 1.25", limit.WithAlgorithm(limit.AIMD), limit.WithTolerance(1.25))
+	fifo           = withAdmission("FIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour))
+	lifo           = withAdmission("LIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour), admission.WithDiscipline(admission.LIFO))
+	standing50ms   = withAdmission("standing wait 50 ms", admission.WithStanding(50*time.Millisecond, 100*time.Millisecond))
+	noHeadroom     = withAdmission("no headroom", admission.WithHeadroom(0))
+	betterOfTwo    = withBalancer("better of two", balancer.WithChoice(balancer.TwoChoices))
+	keepSlow       = withBalancer("slow ones stay", balancer.WithSlowFactor(0))
+	halfEjected    = withBalancer("at most half ejected", balancer.WithEjectedPart(0.5, 0.5))
+	noForwarding   = variant{"no forwarding", newSystem(settings{noForwarding: true})}
+	heartbeatsOnly = variant{"free slots by heartbeat only", newSystem(settings{heartbeatsOnly: true})}
+	noPeerRetry    = variant{"full peers not asked again", newSystem(settings{forward: []forward.Option{forward.WithAgain(0)}})}
+	hedging        = variant{"hedging", newSystem(settings{hedging: true})}
 )
 
-func limited(name string, opts ...limit.Option) variant {
-	return gated(name, admission.WithLimit(opts...))
+func withLimit(name string, opts ...limit.Option) variant {
+	return withAdmission(name, admission.WithLimit(opts...))
 }
 
-func gated(name string, opts ...admission.Option) variant {
+func withAdmission(name string, opts ...admission.Option) variant {
 	return variant{name, newSystem(settings{admission: opts})}
 }
 
-func balanced(name string, opts ...balancer.Option) variant {
+func withBalancer(name string, opts ...balancer.Option) variant {
 	return variant{name, newSystem(settings{balancer: opts})}
 }
 
-// weighed returns the cases of those variants; the current policy's rows are
-// among the others.
-func weighed() []testCase {
-	at := func(load float64) func() *scenario {
+// trialCases returns the cases of the variants. The rows of the current policy
+// to compare them with are among the ordinary cases.
+func trialCases() []testCase {
+	steadyAt := func(load float64) func() *scenario {
 		return func() *scenario { return steady(load) }
 	}
 	return []testCase{
-		{at(faultLoad), []variant{alone, stale, hedging}},
-		{at(0.95), []variant{alone, stale, noAgain, two, fifo, longer, unlimited}},
-		{at(1.2), []variant{fifo, lifo, longer}},
-		{at(2.0), []variant{fifo, lifo, longer, unlimited, gradient, aimd, strict}},
-		{faulty(slowWorkerName), []variant{noSlow, hedging, two}},
-		{faulty(dyingName), []variant{half, stale, unlimited, gradient, aimd, two}},
-		{faulty(cutName), []variant{alone, stale}},
-		{faulty(silentName), []variant{hedging, two}},
-		{func() *scenario { return neighbours(neighbourMax) }, []variant{noHeadroom}},
-		{narrow, []variant{gradient, aimd, strict, two}},
+		{steadyAt(faultLoad), []variant{noForwarding, heartbeatsOnly, hedging}},
+		{steadyAt(0.95), []variant{noForwarding, heartbeatsOnly, noPeerRetry, betterOfTwo, fifo, standing50ms, noLimit}},
+		{steadyAt(1.2), []variant{fifo, lifo, standing50ms}},
+		{steadyAt(2.0), []variant{fifo, lifo, standing50ms, noLimit, gradient, aimd, aimdStrict}},
+		{faultScenario(slowWorkerName), []variant{keepSlow, hedging, betterOfTwo}},
+		{faultScenario(dyingName), []variant{halfEjected, heartbeatsOnly, noLimit, gradient, aimd, betterOfTwo}},
+		{faultScenario(cutName), []variant{noForwarding, heartbeatsOnly}},
+		{faultScenario(silentName), []variant{hedging, betterOfTwo}},
+		{func() *scenario { return quietGroup(otherLoad) }, []variant{noHeadroom}},
+		{fewCores, []variant{gradient, aimd, aimdStrict, betterOfTwo}},
 	}
 }
--- a/bench/quick/fake.go
+++ b/bench/quick/fake.go
@@ -9,66 +9,67 @@
 	"github.com/dogwoodladder/dogwoodladder/balancer"
 )
 
-// Network delays of the fake, one way.
+// One-way network delays.
 const (
-	callerDelay = time.Millisecond
-	nearDelay   = 100 * time.Microsecond // within an availability zone
-	farDelay    = 1500 * time.Microsecond
+	callerDelay    = time.Millisecond
+	sameZoneDelay  = 100 * time.Microsecond // within an availability zone
+	crossZoneDelay = 1500 * time.Microsecond
 )
 
-const busyConnections = 8 // for each pair of instance and worker
+const busyConnections = 8 // per pair of instance and worker
 
 // epoch is the start of virtual time.
 var epoch = time.Unix(0, 0)
 
-// fake is the world around the policies: virtual time, a network and workers.
+// fake simulates a site in virtual time: the network and the workers.
 type fake struct {
-	now      time.Duration
-	queue    eventQueue
-	sequence uint64
-	random   *rand.Rand
-	zones    []string // of instances
-	workers  []*worker
-	index    map[string]int // of workers by name
-	cut      string         // availability zone that is cut off
-	silent   [][]int        // silent connections by instance and worker
-	notice   time.Duration  // after which the policy closes a silent connection; zero is never
-	slots    int            // of a worker
-	cores    int            // requests that a worker serves without slowing down
-	result   *outcome       // what is measured
-}
-
-// worker serves requests in its slots and keeps the others in order.
+	now            time.Duration
+	queue          eventQueue
+	sequence       uint64
+	random         *rand.Rand
+	zones          []string // by instance
+	workers        []*worker
+	index          map[string]int // worker indices by name
+	cut            string         // availability zone that is partitioned from the others
+	silent         [][]int        // number of silent connections by instance and worker
+	silenceTimeout time.Duration  // after which the policy closes a silent connection; zero means never
+	slots          int            // per worker
+	cores          int            // concurrent requests that a worker serves without slowing down
+	outcome        *outcome       // measurements
+}
+
+// worker serves as many requests as it has slots and queues the others in
+// order of arrival.
 type worker struct {
-	name    string
-	zone    string
-	refuses bool
-	factor  float64 // slowdown
-	busy    []*attempt
-	backlog []*attempt
+	name     string
+	zone     string
+	refuses  bool
+	slowdown float64 // factor on service times
+	busy     []*attempt
+	backlog  []*attempt
 }
 
 // request is one request of a caller.
 type request struct {
-	at         time.Duration
-	instance   int
-	service    string
-	work       time.Duration
-	idempotent bool
-	ended      bool
-	sent       bool   // at least once
-	tried      []int  // workers
-	peer       string // that it was forwarded to
-}
-
-// attempt is one sending of a request to a worker.
+	arrivedAt   time.Duration
+	instance    int
+	service     string
+	serviceTime time.Duration
+	idempotent  bool
+	ended       bool
+	sent        bool   // whether there was an attempt
+	tried       []int  // indices of workers
+	peer        string // ID of the instance that it was forwarded to
+}
+
+// attempt is one attempt to have a worker serve a request.
 type attempt struct {
 	request  *request
 	instance int
 	worker   int
-	sent     time.Duration
-	closed   bool // the instance no longer waits for it
-	answer   func(a *attempt, result balancer.Result)
+	sentAt   time.Duration
+	closed   bool // the instance no longer waits for an answer
+	onAnswer func(a *attempt, result balancer.Result)
 }
 
 func (f *fake) time() time.Time {
@@ -81,7 +82,7 @@
 	heap.Push(&f.queue, event{at: f.now + max(d, 0), sequence: f.sequence, fn: fn})
 }
 
-// run handles events until a time.
+// run handles the events up to a point in virtual time.
 func (f *fake) run(until time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		e := heap.Pop(&f.queue).(event)
@@ -91,15 +92,15 @@
 	f.now = until
 }
 
-// message carries fn from one availability zone to another, unless they are
-// cut off from each other when it leaves or arrives.
+// message calls fn after the network delay between two availability zones.
+// The message is lost if the zones are partitioned when it leaves or arrives.
 func (f *fake) message(from, to string, fn func()) {
 	if f.isCut(from, to) {
 		return
 	}
-	delay := farDelay
+	delay := crossZoneDelay
 	if from == to {
-		delay = nearDelay
+		delay = sameZoneDelay
 	}
 	f.after(delay, func() {
 		if !f.isCut(from, to) {
@@ -112,36 +113,38 @@
 	return from != to && (from == f.cut || to == f.cut)
 }
 
-// send starts an attempt. Its answer may never come.
+// send starts an attempt, which may never be answered.
 func (f *fake) send(a *attempt) {
-	a.sent = f.now
+	a.sentAt = f.now
 	if a.request.sent {
-		f.result.retries++
+		f.outcome.retries++
 	}
 	a.request.sent = true
 	if f.isSilent(a) {
-		f.noticeSilence(a)
+		f.scheduleSilenceTimeout(a)
 		return
 	}
 	w := f.workers[a.worker]
 	f.message(f.zones[a.instance], w.zone, func() { f.receive(w, a) })
 }
 
-// noticeSilence ends a, and its connection, after the policy's own bound.
-func (f *fake) noticeSilence(a *attempt) {
-	if f.notice == 0 {
+// scheduleSilenceTimeout closes the silent connection of a after
+// silenceTimeout and reports a as lost.
+func (f *fake) scheduleSilenceTimeout(a *attempt) {
+	if f.silenceTimeout == 0 {
 		return
 	}
-	f.after(f.notice, func() {
+	f.after(f.silenceTimeout, func() {
 		n := &f.silent[a.instance][a.worker]
 		*n = max(*n-1, 0)
 		if !a.closed {
-			a.answer(a, balancer.Lost)
+			a.onAnswer(a, balancer.Lost)
 		}
 	})
 }
 
-// isSilent reports whether a met a connection that lost its other end.
+// isSilent reports whether a is sent on a silent connection, which is drawn at
+// random.
 func (f *fake) isSilent(a *attempt) bool {
 	if f.silent == nil {
 		return false
@@ -162,9 +165,9 @@
 
 func (f *fake) start(w *worker, a *attempt) {
 	w.busy = append(w.busy, a)
-	crowd := max(1, float64(len(w.busy))/float64(f.cores))
-	factor := w.factor * crowd * crowd
-	f.after(time.Duration(factor*float64(a.request.work)), func() { f.complete(w, a) })
+	overload := max(1, float64(len(w.busy))/float64(f.cores))
+	factor := w.slowdown * overload * overload
+	f.after(time.Duration(factor*float64(a.request.serviceTime)), func() { f.complete(w, a) })
 }
 
 func (f *fake) complete(w *worker, a *attempt) {
@@ -185,13 +188,13 @@
 func (f *fake) reply(w *worker, a *attempt, result balancer.Result) {
 	f.message(w.zone, f.zones[a.instance], func() {
 		if !a.closed {
-			a.answer(a, result)
+			a.onAnswer(a, result)
 		}
 	})
 }
 
-// die ends a worker: connections are reset and new ones refused.
-func (f *fake) die(w *worker) {
+// killWorker stops a worker: its connections are reset and new ones refused.
+func (f *fake) killWorker(w *worker) {
 	w.refuses = true
 	lost := append(w.busy, w.backlog...)
 	w.busy, w.backlog = nil, nil
@@ -200,24 +203,26 @@
 	}
 }
 
-// silence makes a part of all busy connections silent.
-func (f *fake) silence(connections int) {
+// silenceConnections makes a number of busy connections silent for each pair of
+// instance and worker.
+func (f *fake) silenceConnections(connections int) {
 	f.silent = make([][]int, len(f.zones))
 	for i := range f.silent {
 		f.silent[i] = slices.Repeat([]int{connections}, len(f.workers))
 	}
 }
 
-// finish ends a request at an instance; its caller learns of it a delay later.
+// finish ends a request at its entry instance. The caller gets the answer
+// callerDelay later.
 func (f *fake) finish(r *request, e ending) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	f.result.add(r, e, f.now+callerDelay)
+	f.outcome.addEnding(r, e, f.now+callerDelay)
 }
 
-// event is something that happens at a virtual time.
+// event is a function to call at a point in virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
--- a/bench/quick/fault.go
+++ b/bench/quick/fault.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// Sizes of the faults.
+// Parameters of the faults.
 const (
-	slowdown      = 10
-	dyingPart     = 3 // one of three
-	silentPart    = 2 // of the busy connections of each pair
-	replacedPart  = 5 // one of five
-	replacedEvery = 300 * time.Millisecond
-	listLag       = 5 * time.Second
-	shortListLag  = 3 * time.Second
-	cutZone       = "c"
+	slowWorkerFactor = 10
+	dyingDivisor     = 3 // one worker in three dies
+	silentPerPair    = 2 // busy connections that turn silent, for each pair of instance and worker
+	replacedDivisor  = 5 // one worker in five is replaced
+	replacedEvery    = 300 * time.Millisecond
+	listLag          = 5 * time.Second
+	shortListLag     = 3 * time.Second
+	cutZone          = "c"
 )
 
-// slowWorker makes one worker ten times slower.
+// slowWorker slows one worker down by a factor of ten.
 func slowWorker(f *fake, _ policy) {
-	f.workers[0].factor = slowdown
+	f.workers[0].slowdown = slowWorkerFactor
 }
 
-// dyingWorkers ends a third of the workers at once; the list tells later.
+// dyingWorkers kills a third of the workers at once. The policy gets the
+// updated list of workers after a lag.
 func dyingWorkers(f *fake, p policy) {
 	order := f.random.Perm(len(f.workers))
-	dying := len(order) / dyingPart
+	dying := len(order) / dyingDivisor
 	for _, i := range order[:dying] {
-		f.die(f.workers[i])
+		f.killWorker(f.workers[i])
 	}
-	left := slices.Sorted(slices.Values(order[dying:]))
-	f.after(shortListLag, func() { p.list(left) })
+	remaining := slices.Sorted(slices.Values(order[dying:]))
+	f.after(shortListLag, func() { p.setWorkers(remaining) })
 }
 
-// cutOff cuts one availability zone off from the others.
+// cutOff partitions one availability zone from the others.
 func cutOff(f *fake, _ policy) {
 	f.cut = cutZone
 }
 
-// silentConnections takes the other end of a quarter of the connections away.
+// silentConnections makes a quarter of the busy connections silent: nothing
+// that is sent on them is answered.
 func silentConnections(f *fake, _ policy) {
-	f.silence(silentPart)
+	f.silenceConnections(silentPerPair)
 }
 
-// laggingList replaces every fifth worker, one after the other, and the list
-// tells of each only later.
+// laggingList replaces every fifth worker, one after the other. The policy
+// gets the updated list of workers after a lag.
 func laggingList(f *fake, p policy) {
-	count := len(f.workers) / replacedPart
+	count := len(f.workers) / replacedDivisor
 	for i := range count {
-		f.after(time.Duration(i)*replacedEvery, func() { replace(f, p, i*replacedPart) })
+		f.after(time.Duration(i)*replacedEvery, func() { replace(f, p, i*replacedDivisor) })
 	}
 }
 
@@ -56,10 +58,10 @@
 	f.workers[i].refuses = true
 	f.addWorker().zone = f.workers[i].zone
 	listed := accepting(f)
-	f.after(listLag, func() { p.list(listed) })
+	f.after(listLag, func() { p.setWorkers(listed) })
 }
 
-// accepting returns the workers that take requests.
+// accepting returns the workers that accept requests.
 func accepting(f *fake) []int {
 	var live []int
 	for i, w := range f.workers {
--- a/bench/quick/instance.go
+++ b/bench/quick/instance.go
@@ -12,31 +12,31 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// Hedging, where it is on.
+// Parameters of hedging.
 const (
-	hedgeDelay = 120 * time.Millisecond
-	hedgeSpare = 4 // free slots without which no hedge is sent
+	hedgeDelay      = 120 * time.Millisecond
+	minFreeForHedge = 4 // a hedge is sent only with more free slots than this
 )
 
 // instance is one entry instance.
 type instance struct {
-	system   *system
-	fake     *fake
-	index    int
-	id       string
-	zone     string
-	gate     *admission.Gate
-	balancer *balancer.Balancer
-	chooser  *forward.Chooser
-	budget   *budget.Budget
-	peers    []route.Peer
-	owned    int
-	waiting  map[*admission.Ticket]*request
-	alarm    time.Time // when Expire runs next; zero is never
+	system       *system
+	fake         *fake
+	index        int
+	id           string
+	zone         string
+	gate         *admission.Gate
+	balancer     *balancer.Balancer
+	chooser      *forward.Chooser
+	budget       *budget.Budget
+	peers        []route.Peer
+	ownedWorkers int
+	waiting      map[*admission.Ticket]*request
+	expiryAt     time.Time // time of the scheduled gate.Expire; zero means none
 }
 
 func newInstance(sys *system, index int, zone string, seed uint64) *instance {
-	own := seed + uint64(index)
+	instanceSeed := seed + uint64(index)
 	return &instance{
 		system:   sys,
 		fake:     sys.fake,
@@ -44,8 +44,8 @@
 		id:       fmt.Sprint(index),
 		zone:     zone,
 		gate:     admission.New(sys.settings.admission...),
-		balancer: balancer.New(own, sys.settings.balancer...),
-		chooser:  forward.New(own, zone, sys.settings.forward...),
+		balancer: balancer.New(instanceSeed, sys.settings.balancer...),
+		chooser:  forward.New(instanceSeed, zone, sys.settings.forward...),
 		budget:   budget.New(),
 		waiting:  map[*admission.Ticket]*request{},
 	}
@@ -59,7 +59,7 @@
 	return free
 }
 
-func (in *instance) hear(p route.Peer) {
+func (in *instance) handleHeartbeat(p route.Peer) {
 	p.Heard = in.fake.time()
 	i := slices.IndexFunc(in.peers, func(o route.Peer) bool { return o.ID == p.ID })
 	if i < 0 {
@@ -69,8 +69,8 @@
 	in.peers[i] = p
 }
 
-// giveUp ends a request at its deadline.
-func (in *instance) giveUp(r *request) {
+// handleDeadline ends a request at its deadline.
+func (in *instance) handleDeadline(r *request) {
 	if r.ended {
 		return
 	}
@@ -80,7 +80,8 @@
 	in.fake.finish(r, failed)
 }
 
-// finish ends a request, by way of the instance that it came to.
+// finish ends a request. A forwarded one is answered through its entry
+// instance, which also learns the free slots of this one.
 func (in *instance) finish(r *request, e ending) {
 	origin := in.system.instances[r.instance]
 	if origin == in {
@@ -89,24 +90,26 @@
 	}
 	free := in.balancer.Free(in.fake.time())
 	in.fake.message(in.zone, origin.zone, func() {
-		origin.learn(r.service, in.id, free)
+		origin.updatePeerFree(r.service, in.id, free)
 		in.fake.finish(r, e)
 	})
 }
 
-// learn takes the free slots that came with a peer's answer into account.
-func (in *instance) learn(service, peer string, free int) {
-	if !in.system.settings.stale {
+// updatePeerFree records the free slots that a peer reported with an answer.
+func (in *instance) updatePeerFree(service, peer string, free int) {
+	if !in.system.settings.heartbeatsOnly {
 		in.chooser.Heard(in.fake.time(), service, peer, free)
 	}
 }
 
-// offer asks the own gate first, and a peer when that has no slot now.
-func (in *instance) offer(r *request, mayForward bool) {
+// admitOrForward dispatches a request if the gate admits it at once. If not, it
+// forwards it to a peer. Without a suitable peer, the request waits in the gate's
+// queue or, if the gate rejected it, ends as refused.
+func (in *instance) admitOrForward(r *request, mayForward bool) {
 	now := in.fake.time()
-	t, err := in.gate.Offer(now, in.ask(r, 0))
+	t, err := in.gate.Offer(now, in.admissionRequest(r, 0))
 	if err == nil && t.Admitted {
-		in.begin(r, t)
+		in.dispatch(r, t)
 		return
 	}
 	if mayForward && in.forward(r) {
@@ -120,11 +123,11 @@
 		return
 	}
 	in.waiting[t] = r
-	in.arm()
+	in.scheduleExpiry()
 }
 
-func (in *instance) ask(r *request, hops int) admission.Request {
-	deadline := epoch.Add(r.at + in.system.deadline - callerDelay)
+func (in *instance) admissionRequest(r *request, hops int) admission.Request {
+	deadline := epoch.Add(r.arrivedAt + in.system.deadline - callerDelay)
 	return admission.Request{Service: r.service, Deadline: deadline, Hops: hops}
 }
 
@@ -137,40 +140,42 @@
 		return o.id == peer.ID
 	})]
 	r.peer = peer.ID
-	in.fake.message(in.zone, to.zone, func() { to.accept(r, in) })
+	in.fake.message(in.zone, to.zone, func() { to.handleForwarded(r, in) })
 	return true
 }
 
-// accept handles a request that another instance forwarded. It takes a slot
-// or goes back.
-func (in *instance) accept(r *request, from *instance) {
-	t, err := in.gate.Offer(in.fake.time(), in.ask(r, forward.MaxHops))
+// handleForwarded handles a request that another instance forwarded. If no slot
+// is free, the request returns to that instance.
+func (in *instance) handleForwarded(r *request, from *instance) {
+	t, err := in.gate.Offer(in.fake.time(), in.admissionRequest(r, forward.MaxHops))
 	if err == nil && t.Admitted {
-		in.begin(r, t)
+		in.dispatch(r, t)
 		return
 	}
 	in.fake.message(in.zone, from.zone, func() {
 		from.chooser.Refused(from.fake.time(), r.service, in.id)
 		r.peer = ""
 		if !r.ended {
-			from.offer(r, false)
+			from.admitOrForward(r, false)
 		}
 	})
 }
 
-// begin puts an admitted request on a worker. When the gate admitted more
-// than the workers can hold, the request is refused.
-func (in *instance) begin(r *request, t *admission.Ticket) {
+// dispatch sends an admitted request to a worker. If no worker has a free slot
+// because the gate admitted more than the workers can hold, the request is
+// refused.
+func (in *instance) dispatch(r *request, t *admission.Ticket) {
 	if in.send(r, t) {
 		return
 	}
 	now := in.fake.time()
 	in.gate.Abandon(now, t)
 	in.finish(r, refused)
-	in.start(in.gate.Admit(now))
+	in.dispatchAdmitted(in.gate.Admit(now))
 }
 
-// send starts an attempt on a worker that wasn't tried yet, if there is one.
+// send starts an attempt on a worker that wasn't tried yet. It reports false if
+// there is none.
 func (in *instance) send(r *request, t *admission.Ticket) bool {
 	backend, ok := in.balancer.Pick(in.fake.time(), func(w string) bool {
 		return slices.Contains(r.tried, in.fake.index[w])
@@ -180,38 +185,38 @@
 	}
 	a := &attempt{request: r, instance: in.index, worker: in.fake.index[backend.Worker]}
 	r.tried = append(r.tried, a.worker)
-	a.answer = func(a *attempt, result balancer.Result) { in.answer(a, t, result) }
+	a.onAnswer = func(a *attempt, result balancer.Result) { in.handleAnswer(a, t, result) }
 	in.fake.send(a)
-	left := in.system.deadline - callerDelay - (in.fake.now - r.at)
-	in.fake.after(left, func() {
+	remaining := in.system.deadline - callerDelay - (in.fake.now - r.arrivedAt)
+	in.fake.after(remaining, func() {
 		if !a.closed {
-			in.answer(a, t, balancer.Lost)
+			in.handleAnswer(a, t, balancer.Lost)
 		}
 	})
-	in.hedgeLater(r, a)
+	in.scheduleHedge(r, a)
 	return true
 }
 
-// answer handles the end of an attempt.
-func (in *instance) answer(a *attempt, t *admission.Ticket, result balancer.Result) {
+// handleAnswer handles the end of an attempt.
+func (in *instance) handleAnswer(a *attempt, t *admission.Ticket, result balancer.Result) {
 	now := in.fake.time()
 	a.closed = true
-	latency := in.fake.now - a.sent
+	latency := in.fake.now - a.sentAt
 	in.balancer.Done(now, in.workerOf(a), latency, result)
-	in.resize()
-	if in.mayRetry(a.request, result) && in.send(a.request, t) {
+	in.updateCapacity()
+	if in.canRetry(a.request, result) && in.send(a.request, t) {
 		return
 	}
 	in.finish(a.request, endingOf(result))
-	in.start(in.gate.Release(now, t, latency, result == balancer.OK))
-	in.arm()
+	in.dispatchAdmitted(in.gate.Release(now, t, latency, result == balancer.OK))
+	in.scheduleExpiry()
 }
 
 func (in *instance) workerOf(a *attempt) string {
 	return in.fake.workers[a.worker].name
 }
 
-func (in *instance) mayRetry(r *request, result balancer.Result) bool {
+func (in *instance) canRetry(r *request, result balancer.Result) bool {
 	safe := result == balancer.Refused || result == balancer.Lost && r.idempotent
 	return safe && !r.ended && in.budget.Take(in.fake.time())
 }
@@ -226,52 +231,53 @@
 	return failed
 }
 
-// hedgeLater sends a second attempt when the first takes long and a slot is
-// free anyway.
-func (in *instance) hedgeLater(r *request, first *attempt) {
-	if !in.system.settings.hedge || !r.idempotent || len(r.tried) > 1 {
+// scheduleHedge sends a second attempt after hedgeDelay if the first isn't
+// answered by then, more than minFreeForHedge slots are free and the retry budget
+// allows it.
+func (in *instance) scheduleHedge(r *request, first *attempt) {
+	if !in.system.settings.hedging || !r.idempotent || len(r.tried) > 1 {
 		return
 	}
 	in.fake.after(hedgeDelay, func() {
-		if !first.closed && !r.ended && in.balancer.Free(in.fake.time()) > hedgeSpare && in.budget.Take(in.fake.time()) {
+		if !first.closed && !r.ended && in.balancer.Free(in.fake.time()) > minFreeForHedge && in.budget.Take(in.fake.time()) {
 			in.hedge(r)
 		}
 	})
 }
 
 func (in *instance) hedge(r *request) {
-	t, err := in.gate.Offer(in.fake.time(), in.ask(r, forward.MaxHops))
+	t, err := in.gate.Offer(in.fake.time(), in.admissionRequest(r, forward.MaxHops))
 	if err == nil && t.Admitted && !in.send(r, t) {
 		in.gate.Abandon(in.fake.time(), t)
 	}
 }
 
-// resize tells the gate how many slots are in rotation.
-func (in *instance) resize() {
+// updateCapacity sets the capacity of the gate to the slots in rotation.
+func (in *instance) updateCapacity() {
 	slots := in.balancer.Slots(in.fake.time())
 	for name := range in.system.services {
 		in.gate.Capacity(name, slots)
 	}
 }
 
-// start sends the tickets that were admitted after a wait.
-func (in *instance) start(tickets []*admission.Ticket) {
+// dispatchAdmitted dispatches the queued requests that the gate admitted.
+func (in *instance) dispatchAdmitted(tickets []*admission.Ticket) {
 	for _, t := range tickets {
 		r := in.waiting[t]
 		delete(in.waiting, t)
-		in.begin(r, t)
+		in.dispatch(r, t)
 	}
 }
 
-// arm plans the next Expire.
-func (in *instance) arm() {
+// scheduleExpiry schedules a call of expire for the gate's next expiry.
+func (in *instance) scheduleExpiry() {
 	at, ok := in.gate.NextExpiry()
-	if !ok || !in.alarm.IsZero() && !at.Before(in.alarm) {
+	if !ok || !in.expiryAt.IsZero() && !at.Before(in.expiryAt) {
 		return
 	}
-	in.alarm = at
+	in.expiryAt = at
 	in.fake.after(at.Sub(in.fake.time()), func() {
-		in.alarm = time.Time{}
+		in.expiryAt = time.Time{}
 		in.expire()
 	})
 }
@@ -281,5 +287,5 @@
 		in.fake.finish(in.waiting[t], refused)
 		delete(in.waiting, t)
 	}
-	in.arm()
+	in.scheduleExpiry()
 }
--- a/bench/quick/outcome.go
+++ b/bench/quick/outcome.go
@@ -8,53 +8,53 @@
 
 //go:generate go tool stringer -type=ending -output=strings.go
 
-// ending tells how a request ended for its caller.
+// ending is the result of a request as its caller sees it.
 type ending int
 
 // Endings of a request.
 const (
 	answered ending = iota
-	refused         // told "not run"
-	failed          // told "may have run", or given up at the deadline
+	refused         // the request didn't run
+	failed          // the request may have run, or reached its deadline
 )
 
 // Bounds of the histograms, in microseconds.
 const (
-	shortest  = 1
-	longest   = int64(time.Minute / time.Microsecond)
+	minMicros = 1
+	maxMicros = int64(time.Minute / time.Microsecond)
 	precision = 3
 )
 
-// outcome is what one run measured. Retries are those of all
-// requests, also before the warm-up's end.
+// outcome is the measurements of one run. Retries include those of requests
+// during the warm-up.
 type outcome struct {
-	from, until time.Duration // arrivals that count
-	deadline    time.Duration
-	latencies   map[string]*hdrhistogram.Histogram // of answers, by service
-	refusals    *hdrhistogram.Histogram            // time until a refusal
-	requests    int
-	inTime      int
-	refused     int
-	failed      int
-	allRequests int
-	retries     int
+	countFrom, countUntil time.Duration // only requests that arrive in this range count
+	deadline              time.Duration
+	latencies             map[string]*hdrhistogram.Histogram // of answers, by service
+	refusals              *hdrhistogram.Histogram            // time until a refusal
+	requests              int
+	inTime                int
+	refused               int
+	failed                int
+	allRequests           int
+	retries               int
 }
 
 func newOutcome(from, until, deadline time.Duration) *outcome {
 	return &outcome{
-		from:      from,
-		until:     until,
-		deadline:  deadline,
-		latencies: map[string]*hdrhistogram.Histogram{},
-		refusals:  newHistogram(),
+		countFrom:  from,
+		countUntil: until,
+		deadline:   deadline,
+		latencies:  map[string]*hdrhistogram.Histogram{},
+		refusals:   newHistogram(),
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(shortest, longest, precision)
+	return hdrhistogram.New(minMicros, maxMicros, precision)
 }
 
-func (o *outcome) arrived(r *request) {
+func (o *outcome) addArrival(r *request) {
 	o.allRequests++
 	if o.counts(r) {
 		o.requests++
@@ -62,16 +62,15 @@
 }
 
 func (o *outcome) counts(r *request) bool {
-	return r.at >= o.from && r.at < o.until
+	return r.arrivedAt >= o.countFrom && r.arrivedAt < o.countUntil
 }
 
-// add takes the end of a request into account, which its caller learned at a
-// time.
-func (o *outcome) add(r *request, e ending, at time.Duration) {
+// addEnding records the end of a request, which its caller learns at a time.
+func (o *outcome) addEnding(r *request, e ending, at time.Duration) {
 	if !o.counts(r) {
 		return
 	}
-	latency := at - r.at
+	latency := at - r.arrivedAt
 	switch e {
 	case refused:
 		o.refused++
@@ -79,11 +78,11 @@
 	case failed:
 		o.failed++
 	case answered:
-		o.answer(r.service, latency)
+		o.addAnswer(r.service, latency)
 	}
 }
 
-func (o *outcome) answer(service string, latency time.Duration) {
+func (o *outcome) addAnswer(service string, latency time.Duration) {
 	record(o.latency(service), latency)
 	if latency <= o.deadline {
 		o.inTime++
@@ -91,8 +90,8 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is within the bounds, so there is no error to handle.
-	_ = h.RecordValue(min(max(d.Microseconds(), shortest), longest))
+	// The clamped value is within the histogram's bounds, so there is no error.
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
 // latency returns the histogram of a service.
@@ -113,8 +112,8 @@
 	return n
 }
 
-// all returns the latencies of all services together.
-func (o *outcome) all() *hdrhistogram.Histogram {
+// allLatencies merges the latencies of all services.
+func (o *outcome) allLatencies() *hdrhistogram.Histogram {
 	h := newHistogram()
 	for _, part := range o.latencies {
 		h.Merge(part)
--- a/bench/quick/quick.go
+++ b/bench/quick/quick.go
@@ -1,18 +1,18 @@
-// Package quick measures the policies of quick requests under load and
-// faults, on a fake of callers, entry instances and workers in virtual time.
+// Package quick measures the policies for quick requests under load and
+// faults. It simulates callers, entry instances and workers in virtual time.
 //
 // Usage:
 //
 //	err := quick.New(quick.WithSeed(1)).Run(os.Stdout)
 //
-// The fake has 7 entry instances in 3 availability zones and 65 workers with
-// 8 slots. Times of service are log-normal with a mean of 40 ms. A message
-// takes 1 ms to a caller, 1.5 ms to another availability zone and 0.1 ms
-// within one. Callers arrive at random instances, don't repeat a refused
-// request and wait 400 ms. Packages admission, balancer, budget, forward and
-// limit decide as they do in the daemon. The same seed gives the same
-// arrivals and work to the policies and to the baselines, and the same
-// figures on every run.
+// The simulation has 7 entry instances in 3 availability zones and 65 workers
+// with 8 slots each. Service times are log-normal with a mean of 40 ms. A
+// message takes 1 ms to a caller, 1.5 ms to another availability zone and
+// 0.1 ms within one. Each caller sends to a random instance, doesn't retry a
+// refused request and times out after 400 ms. Packages admission, balancer,
+// budget, forward and limit decide as they do in the daemon. For the same
+// seed, all policies and baselines get the same arrivals and service times,
+// and every run gives the same figures.
 package quick
 
 import (
@@ -31,22 +31,23 @@
 // Option changes a Bench.
 type Option func(*Bench)
 
-// WithSeed sets the seed of arrivals, work and choices, 1 by default.
+// WithSeed sets the seed of arrivals, service times and random choices, 1 by
+// default.
 func WithSeed(seed uint64) Option {
 	return func(b *Bench) { b.seed = seed }
 }
 
-// WithParallel sets how many runs go on at once, 1 by default.
+// WithParallel sets how many runs execute concurrently, 1 by default.
 func WithParallel(n int) Option {
 	return func(b *Bench) { b.parallel = n }
 }
 
-// WithTrials adds the variants of the policy that were weighed.
+// WithTrials adds runs of alternative settings of the policy.
 func WithTrials(on bool) Option {
 	return func(b *Bench) { b.trials = on }
 }
 
-// WithScenario measures one scenario only, by its name.
+// WithScenario restricts the measurement to the scenario of that name.
 func WithScenario(name string) Option {
 	return func(b *Bench) { b.only = name }
 }
@@ -60,53 +61,54 @@
 	return b
 }
 
-// Run measures and writes the table.
+// Run executes the measurements and writes their results to w as a Markdown
+// table.
 func (b *Bench) Run(w io.Writer) error {
 	_, err := io.WriteString(w, b.Measure().Markdown())
 	return err
 }
 
-// Measure returns what the runs gave, in a fixed order.
+// Measure executes all runs and returns their results in a fixed order.
 func (b *Bench) Measure() Report {
-	jobs := b.jobs()
-	rows := make([]Row, len(jobs))
+	runs := b.runs()
+	rows := make([]Row, len(runs))
 	next := make(chan int)
-	var group sync.WaitGroup
+	var workers sync.WaitGroup
 	for range b.parallel {
-		group.Go(func() {
+		workers.Go(func() {
 			for i := range next {
-				rows[i] = jobs[i].measure(b.seed)
+				rows[i] = runs[i].measure(b.seed)
 			}
 		})
 	}
-	for i := range jobs {
+	for i := range runs {
 		next <- i
 	}
 	close(next)
-	group.Wait()
+	workers.Wait()
 	return Report{Seed: b.seed, Rows: rows}
 }
 
-// jobs returns all pairs of a scenario and a policy.
-func (b *Bench) jobs() []job {
-	var jobs []job
+// runs returns the selected pairs of a scenario and a policy.
+func (b *Bench) runs() []benchRun {
+	var runs []benchRun
 	for _, c := range cases(b.trials) {
 		for _, v := range c.variants {
-			s := c.make()
+			s := c.newScenario()
 			if b.only == "" || b.only == s.name {
-				jobs = append(jobs, job{scenario: s, variant: v})
+				runs = append(runs, benchRun{scenario: s, variant: v})
 			}
 		}
 	}
-	return jobs
+	return runs
 }
 
-// job is one run.
-type job struct {
+// benchRun is one scenario under one policy.
+type benchRun struct {
 	scenario *scenario
 	variant  variant
 }
 
-func (j job) measure(seed uint64) Row {
-	return newRow(j.scenario, j.variant.name, j.scenario.execute(j.variant.make, seed))
+func (j benchRun) measure(seed uint64) Row {
+	return newRow(j.scenario, j.variant.name, j.scenario.execute(j.variant.newPolicy, seed))
 }
--- a/bench/quick/report.go
+++ b/bench/quick/report.go
@@ -8,21 +8,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Targets of the measurements.
+// Targets for the dogwoodladder policy.
 const (
-	targetIdeal   = 1.5 // p99 at load 0.8 by that of the ideal queue
-	targetGoodput = 0.9 // of the capacity at load 2.0
-	targetSlow    = 1.3 // p99 with a slow worker by that without
+	maxIdealRatio = 1.5 // p99 at load 0.8 over the ideal queue's
+	minGoodput    = 0.9 // share of the capacity at load 2.0
+	maxSlowRatio  = 1.3 // p99 with a slow worker over the one without
 )
 
-// Report is what all runs gave.
+// Report holds the results of all runs.
 type Report struct {
 	Seed uint64
 	Rows []Row
 }
 
-// Row is what one run gave. Latencies are of answered requests, in time or
-// not; parts are of the requests that arrived.
+// Row is the result of one run. Latencies cover all answered requests, also
+// those answered after their deadline. Refused and Failed are shares of the
+// requests that arrived.
 type Row struct {
 	Scenario   string
 	Policy     string
@@ -31,16 +32,16 @@
 	P99        time.Duration
 	P999       time.Duration
 	Refused    float64
-	RefusalP99 time.Duration // how long a refused caller waited
+	RefusalP99 time.Duration // time until a refusal reaches the caller
 	Failed     float64       // lost, timed out or never answered
-	Retries    float64       // tries for each request beyond the first, of those sent
-	Goodput    float64       // answers in time, by the capacity
+	Retries    float64       // attempts beyond the first per request
+	Goodput    float64       // answers in time as a share of the capacity
 }
 
 func newRow(s *scenario, policy string, o *outcome) Row {
-	h := o.all()
-	if s.watched != "" {
-		h = o.latency(s.watched)
+	h := o.allLatencies()
+	if s.reportedService != "" {
+		h = o.latency(s.reportedService)
 	}
 	requests := float64(max(o.requests, 1))
 	return Row{
@@ -54,7 +55,7 @@
 		RefusalP99: quantile(o.refusals, 99),
 		Failed:     float64(o.requests-o.refused-o.answers()) / requests,
 		Retries:    float64(o.retries) / float64(max(o.allRequests, 1)),
-		Goodput:    float64(o.inTime) / (o.until - o.from).Seconds() / s.capacity(),
+		Goodput:    float64(o.inTime) / (o.countUntil - o.countFrom).Seconds() / s.capacity(),
 	}
 }
 
@@ -91,21 +92,21 @@
 	return fmt.Sprintf("%.2f%%", 100*part)
 }
 
-// targets returns the comparisons that have a target, where both of their
-// rows were measured.
+// targets returns a line for each comparison that has a target and whose rows
+// were measured.
 func (r Report) targets() string {
 	var b strings.Builder
 	steadyName := steady(faultLoad).name
-	own, ideal := r.row(steadyName, systemName), r.row(steadyName, idealName)
+	system, ideal := r.row(steadyName, systemName), r.row(steadyName, idealName)
 	slow := r.row(slowWorkerName, systemName)
-	if own != nil && ideal != nil {
-		b.WriteString(verdict("p99 at load 0.80 by the ideal queue's", ratio(own.P99, ideal.P99), "at most", targetIdeal))
+	if system != nil && ideal != nil {
+		b.WriteString(targetLine("p99 at load 0.80 by the ideal queue's", ratio(system.P99, ideal.P99), "at most", maxIdealRatio))
 	}
-	if own != nil && slow != nil {
-		b.WriteString(verdict("p99 with a slow worker by that without", ratio(slow.P99, own.P99), "below", targetSlow))
+	if system != nil && slow != nil {
+		b.WriteString(targetLine("p99 with a slow worker by that without", ratio(slow.P99, system.P99), "below", maxSlowRatio))
 	}
 	if full := r.row(steady(2).name, systemName); full != nil {
-		b.WriteString(verdict("goodput at load 2.00 by the capacity", full.Goodput, "at least", targetGoodput))
+		b.WriteString(targetLine("goodput at load 2.00 by the capacity", full.Goodput, "at least", minGoodput))
 	}
 	if b.Len() == 0 {
 		return ""
@@ -113,7 +114,7 @@
 	return "\n" + b.String()
 }
 
-func verdict(what string, value float64, relation string, target float64) string {
+func targetLine(what string, value float64, relation string, target float64) string {
 	met := value <= target
 	if relation == "at least" {
 		met = value >= target
--- a/bench/quick/scenario.go
+++ b/bench/quick/scenario.go
@@ -9,60 +9,60 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// Sizes of the fake.
+// Size of the simulated site.
 const (
-	workerCount = 65
-	slotCount   = 8
-	meanWork    = 40 * time.Millisecond
-	workSpread  = 0.6 // sigma of the log-normal time of service
+	workerCount      = 65
+	slotCount        = 8
+	meanServiceTime  = 40 * time.Millisecond
+	serviceTimeSigma = 0.6 // sigma of the log-normal distribution
 )
 
 // Times of a run.
 const (
-	warmUp   = time.Second
-	faultAt  = 2 * time.Second
-	lateness = 5 * time.Second // after the last arrival, for late answers
+	warmUp         = time.Second
+	faultAt        = 2 * time.Second
+	lateAnswerTime = 5 * time.Second // simulated after the last arrival
 )
 
 // instanceZones are the availability zones of the entry instances.
 var instanceZones = []string{"a", "a", "a", "b", "b", "c", "c"}
 
-// workerZones are handed to workers in turn.
+// workerZones are assigned to workers in turn.
 var workerZones = []string{"a", "b", "c"}
 
-// part is one service's part of the load.
-type part struct {
+// serviceLoad is the load of one service.
+type serviceLoad struct {
 	service string
 	group   string
 	weight  float64
-	load    float64 // of the capacity
+	load    float64 // arrival rate as a share of the capacity
 }
 
-// scenario is one row of the table.
+// scenario is a load, optionally with a fault.
 type scenario struct {
-	name     string
-	parts    []part
-	cores    int
-	deadline time.Duration
-	length   time.Duration
-	fault    func(f *fake, p policy)
-	watched  string // service whose latencies are shown; empty for all
+	name            string
+	serviceLoads    []serviceLoad
+	cores           int
+	deadline        time.Duration
+	duration        time.Duration
+	fault           func(f *fake, p policy)
+	reportedService string // service whose latencies are reported; empty for all
 }
 
 // steady returns a scenario of one service without a fault.
 func steady(load float64) *scenario {
 	return &scenario{
-		name:     fmt.Sprintf("load %.2f", load),
-		parts:    []part{{service: "price", group: "yards", weight: 1, load: load}},
-		cores:    slotCount,
-		deadline: 10 * meanWork,
-		length:   10 * time.Second,
+		name:         fmt.Sprintf("load %.2f", load),
+		serviceLoads: []serviceLoad{{service: "price", group: "yards", weight: 1, load: load}},
+		cores:        slotCount,
+		deadline:     10 * meanServiceTime,
+		duration:     10 * time.Second,
 	}
 }
 
 func (s *scenario) services() map[string]route.Service {
 	services := map[string]route.Service{}
-	for _, p := range s.parts {
+	for _, p := range s.serviceLoads {
 		services[p.service] = route.Service{
 			Name:    p.service,
 			Group:   p.group,
@@ -74,20 +74,20 @@
 	return services
 }
 
-// capacity returns the requests a second that all workers serve.
+// capacity returns how many requests per second all workers can serve.
 func (s *scenario) capacity() float64 {
-	return float64(workerCount*min(slotCount, s.cores)) / meanWork.Seconds()
+	return float64(workerCount*min(slotCount, s.cores)) / meanServiceTime.Seconds()
 }
 
-// newFake returns the world of s.
+// newFake returns the simulated site of s.
 func newFake(s *scenario, seed uint64) *fake {
 	f := &fake{
-		random: rand.New(rand.NewPCG(seed, 1)),
-		zones:  instanceZones,
-		slots:  slotCount,
-		cores:  s.cores,
-		index:  map[string]int{},
-		result: newOutcome(warmUp, s.length, s.deadline),
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		zones:   instanceZones,
+		slots:   slotCount,
+		cores:   s.cores,
+		index:   map[string]int{},
+		outcome: newOutcome(warmUp, s.duration, s.deadline),
 	}
 	for range workerCount {
 		f.addWorker()
@@ -97,7 +97,7 @@
 
 func (f *fake) addWorker() *worker {
 	i := len(f.workers)
-	w := &worker{name: workerName(i), zone: workerZones[i%len(workerZones)], factor: 1}
+	w := &worker{name: workerName(i), zone: workerZones[i%len(workerZones)], slowdown: 1}
 	f.workers = append(f.workers, w)
 	f.index[w.name] = i
 	return w
@@ -111,47 +111,48 @@
 	return all
 }
 
-// execute runs s under a policy. The same seed gives the same arrivals and
-// work to every policy.
-func (s *scenario) execute(m maker, seed uint64) *outcome {
+// execute runs s under a policy. For the same seed, every policy gets the same
+// arrivals and service times.
+func (s *scenario) execute(m policyFactory, seed uint64) *outcome {
 	f := newFake(s, seed)
 	p := m(f, s, seed)
-	for i, part := range s.parts {
+	for i, load := range s.serviceLoads {
 		arrivals := rand.New(rand.NewPCG(seed, uint64(2+i)))
-		s.arrive(f, p, part, arrivals)
+		s.scheduleArrivals(f, p, load, arrivals)
 	}
 	if s.fault != nil {
 		f.after(faultAt, func() { s.fault(f, p) })
 	}
-	f.run(s.length + lateness)
-	return f.result
+	f.run(s.duration + lateAnswerTime)
+	return f.outcome
 }
 
-// arrive plans the next request of a part, and so on until the end.
-func (s *scenario) arrive(f *fake, p policy, pt part, random *rand.Rand) {
-	rate := pt.load * s.capacity()
+// scheduleArrivals schedules the next request of a service, which schedules
+// the one after it, until the end of the scenario.
+func (s *scenario) scheduleArrivals(f *fake, p policy, load serviceLoad, random *rand.Rand) {
+	rate := load.load * s.capacity()
 	if rate == 0 {
 		return
 	}
 	f.after(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.now >= s.length {
+		if f.now >= s.duration {
 			return
 		}
-		r := draw(f, pt.service, random)
-		f.result.arrived(r)
-		f.after(callerDelay, func() { p.arrive(r) })
-		s.arrive(f, p, pt, random)
+		r := newRequest(f, load.service, random)
+		f.outcome.addArrival(r)
+		f.after(callerDelay, func() { p.handleRequest(r) })
+		s.scheduleArrivals(f, p, load, random)
 	})
 }
 
-func draw(f *fake, service string, random *rand.Rand) *request {
-	mu := math.Log(meanWork.Seconds()) - workSpread*workSpread/2
-	work := math.Exp(mu + workSpread*random.NormFloat64())
+func newRequest(f *fake, service string, random *rand.Rand) *request {
+	mu := math.Log(meanServiceTime.Seconds()) - serviceTimeSigma*serviceTimeSigma/2
+	work := math.Exp(mu + serviceTimeSigma*random.NormFloat64())
 	return &request{
-		at:         f.now,
-		instance:   random.IntN(len(f.zones)),
-		service:    service,
-		work:       time.Duration(work * float64(time.Second)),
-		idempotent: random.IntN(2) == 0,
+		arrivedAt:   f.now,
+		instance:    random.IntN(len(f.zones)),
+		service:     service,
+		serviceTime: time.Duration(work * float64(time.Second)),
+		idempotent:  random.IntN(2) == 0,
 	}
 }
--- a/bench/quick/system.go
+++ b/bench/quick/system.go
@@ -10,91 +10,91 @@
 	"github.com/dogwoodladder/dogwoodladder/route"
 )
 
-// policy is one way to serve requests.
+// policy decides which worker serves a request.
 type policy interface {
-	// arrive handles a request at an instance.
-	arrive(r *request)
-	// list replaces the workers known to be in service.
-	list(workers []int)
+	// handleRequest handles a request that reached its entry instance.
+	handleRequest(r *request)
+	// setWorkers replaces the list of workers in service.
+	setWorkers(workers []int)
 }
 
-// maker makes a policy in a world.
-type maker func(f *fake, s *scenario, seed uint64) policy
+// policyFactory creates a policy for a run of a scenario.
+type policyFactory func(f *fake, s *scenario, seed uint64) policy
 
-// How often instances tell each other their free slots.
+// Intervals at which instances send their free slots to each other.
 const (
-	nearBeat = time.Second // within an availability zone
-	farBeat  = 5 * time.Second
+	sameZoneHeartbeatInterval  = time.Second // within an availability zone
+	crossZoneHeartbeatInterval = 5 * time.Second
 )
 
-// probeTime is how long the probe of a connection without an answer takes to
-// tell that it is silent.
-const probeTime = 150 * time.Millisecond
+// probeTimeout is the time after which a probe reports a connection that
+// doesn't answer as silent.
+const probeTimeout = 150 * time.Millisecond
 
 // settings are the options of the policy packages that a run uses.
 type settings struct {
-	admission []admission.Option
-	balancer  []balancer.Option
-	forward   []forward.Option
-	alone     bool // nothing is forwarded
-	hedge     bool
-	stale     bool // answers of peers don't carry their free slots
+	admission      []admission.Option
+	balancer       []balancer.Option
+	forward        []forward.Option
+	noForwarding   bool // requests stay at their entry instance
+	hedging        bool
+	heartbeatsOnly bool // peers report free slots only in heartbeats, not in answers
 }
 
-// system is the project's own policy: instances that own the workers of
-// their availability zone.
+// system is the policy of dogwoodladder: each instance owns some of the
+// workers of its availability zone and forwards requests to peers.
 type system struct {
 	fake      *fake
 	settings  settings
 	services  map[string]route.Service
 	deadline  time.Duration
 	instances []*instance
-	owner     map[int]int // instances by worker
+	owner     map[int]int // index of the owning instance by worker
 }
 
-// newSystem returns a maker of the project's own policy.
-func newSystem(st settings) maker {
+// newSystem returns a factory of the dogwoodladder policy.
+func newSystem(st settings) policyFactory {
 	return func(f *fake, s *scenario, seed uint64) policy {
 		sys := &system{fake: f, settings: st, services: s.services(), deadline: s.deadline, owner: map[int]int{}}
-		f.notice = probeTime
+		f.silenceTimeout = probeTimeout
 		for i, zone := range f.zones {
 			sys.instances = append(sys.instances, newInstance(sys, i, zone, seed))
 		}
-		sys.list(allWorkers(f))
-		sys.beat(nearBeat, true)
-		sys.beat(farBeat, false)
+		sys.setWorkers(allWorkers(f))
+		sys.sendHeartbeats(sameZoneHeartbeatInterval, true)
+		sys.sendHeartbeats(crossZoneHeartbeatInterval, false)
 		return sys
 	}
 }
 
-// list hands workers to the instances of their availability zone; a worker
-// keeps its owner.
-func (sys *system) list(workers []int) {
+// setWorkers assigns each new worker to an instance of its availability zone.
+// A known worker keeps its owner.
+func (sys *system) setWorkers(workers []int) {
 	owned := make([][]route.Backend, len(sys.instances))
 	for _, w := range workers {
 		owner, ok := sys.owner[w]
 		if !ok {
-			owner = sys.fewest(sys.fake.workers[w].zone)
+			owner = sys.instanceWithFewestWorkers(sys.fake.workers[w].zone)
 			sys.owner[w] = owner
-			sys.instances[owner].owned++
+			sys.instances[owner].ownedWorkers++
 		}
 		owned[owner] = append(owned[owner], sys.backend(w))
 	}
 	for i, in := range sys.instances {
 		in.balancer.Update(sys.fake.time(), owned[i])
 		in.gate.Update(sys.services, len(owned[i])*sys.fake.slots)
-		in.resize()
-		in.start(in.gate.Admit(sys.fake.time()))
-		in.arm()
+		in.updateCapacity()
+		in.dispatchAdmitted(in.gate.Admit(sys.fake.time()))
+		in.scheduleExpiry()
 	}
 }
 
-// fewest returns the instance of an availability zone that owns the fewest
-// workers.
-func (sys *system) fewest(zone string) int {
+// instanceWithFewestWorkers returns the index of the instance that owns the
+// fewest workers in an availability zone, or -1 without an instance there.
+func (sys *system) instanceWithFewestWorkers(zone string) int {
 	best := -1
 	for i, in := range sys.instances {
-		if in.zone == zone && (best < 0 || in.owned < sys.instances[best].owned) {
+		if in.zone == zone && (best < 0 || in.ownedWorkers < sys.instances[best].ownedWorkers) {
 			best = i
 		}
 	}
@@ -113,9 +113,10 @@
 	return fmt.Sprintf("worker-%03d", w)
 }
 
-// beat tells every instance what the others have free, in its own
-// availability zone or in the others.
-func (sys *system) beat(every time.Duration, near bool) {
+// sendHeartbeats sends the free slots of every instance to the others, within
+// its availability zone if sameZone is set and to the other zones if not, and
+// schedules the next round.
+func (sys *system) sendHeartbeats(interval time.Duration, sameZone bool) {
 	for _, from := range sys.instances {
 		peer := route.Peer{
 			ID:               from.id,
@@ -124,17 +125,17 @@
 			Heard:            sys.fake.time(),
 		}
 		for _, to := range sys.instances {
-			if to != from && (to.zone == from.zone) == near {
-				sys.fake.message(from.zone, to.zone, func() { to.hear(peer) })
+			if to != from && (to.zone == from.zone) == sameZone {
+				sys.fake.message(from.zone, to.zone, func() { to.handleHeartbeat(peer) })
 			}
 		}
 	}
-	sys.fake.after(every, func() { sys.beat(every, near) })
+	sys.fake.after(interval, func() { sys.sendHeartbeats(interval, sameZone) })
 }
 
-func (sys *system) arrive(r *request) {
+func (sys *system) handleRequest(r *request) {
 	in := sys.instances[r.instance]
 	in.budget.First(in.fake.time())
-	sys.fake.after(sys.deadline-callerDelay-(sys.fake.now-r.at), func() { in.giveUp(r) })
-	in.offer(r, !sys.settings.alone)
+	sys.fake.after(sys.deadline-callerDelay-(sys.fake.now-r.arrivedAt), func() { in.handleDeadline(r) })
+	in.admitOrForward(r, !sys.settings.noForwarding)
 }
