--- a/bench/mixed/driver.go
+++ b/bench/mixed/driver.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	roundEvery   = 5 * time.Second
-	lowestNanos  = 10_000
-	highestNanos = 100_000_000_000
-	digits       = 3
-	tail         = 99
+	roundInterval = 5 * time.Second
+	lowestNanos   = 10_000
+	highestNanos  = 100_000_000_000
+	digits        = 3
+	tail          = 99
 )
 
-// Result is what one run gave.
+// Result holds the figures of one run after the warm-up.
 type Result struct {
 	Tails     []float64 // p99 of each service in seconds
-	Work      float64   // batch core hours that count, in an hour
-	Arrived   float64   // batch core hours that arrived, in an hour
+	Work      float64   // batch core hours per hour, without the wasted ones
+	Arrived   float64   // batch core hours submitted per hour
 	Evictions int
-	Killed    int     // tasks that ran out of memory
-	Wasted    float64 // batch core hours thrown away, in an hour
+	Killed    int     // tasks killed because their worker ran out of memory
+	Wasted    float64 // batch core hours lost to evictions and kills, per hour
 	Throttles int
-	Moves     int // asked for; the fake moves no service
+	Moves     int // requested; the simulation moves no service
 }
 
 // task is a batch task, queued or running.
@@ -40,52 +40,53 @@
 	percent  int
 	progress float64
 	saved    float64
-	resumed  float64 // progress that it started with
+	resumed  float64 // progress at its latest start
 	started  time.Duration
 	savedAt  time.Duration
 }
 
-// driver feeds one policy from one fake and carries out what it decides.
+// driver runs a simulation under a policy and carries out its decisions.
 type driver struct {
 	*fake
-	policy policy
-	queue  []*task
-	byID   map[string]*task
-	homes  map[string]int // service by replica
-	tails  []*hdrhistogram.Histogram
-	result Result
+	policy    policy
+	queue     []*task
+	byID      map[string]*task
+	serviceOf map[string]int // service by replica
+	tails     []*hdrhistogram.Histogram
+	result    Result
 }
 
-// policy decides where tasks run and what happens to them there.
+// policy decides where tasks run, and throttles or evicts running ones.
 type policy interface {
-	// choose returns the machine for a task.
+	// choose returns the index of the machine for a task, if one fits.
 	choose(d *driver, t *task) (int, bool)
-	// need returns what to set aside for a class of tasks.
-	need(d *driver, t *task) resource.Vector
-	// reserve returns what to set aside for a replica.
-	reserve(d *driver, r *replica) resource.Vector
-	started(d *driver, t *task)
-	ended(d *driver, t *task, done bool)
-	report(d *driver, r provider.Report)
-	// protect is called for each machine in each round.
+	// taskReservation returns the resources to reserve for a task.
+	taskReservation(d *driver, t *task) resource.Vector
+	// replicaReservation returns the resources to reserve for a replica.
+	replicaReservation(d *driver, r *replica) resource.Vector
+	taskStarted(d *driver, t *task)
+	taskEnded(d *driver, t *task, done bool)
+	handleReport(d *driver, r provider.Report)
+	// protect limits interference on a machine. It is called for each machine
+	// in each round.
 	protect(d *driver, m *machine)
 }
 
-func newDriver(s Scenario, p policy, split bool) *driver {
-	d := &driver{fake: newFake(s), policy: p, byID: map[string]*task{}, homes: map[string]int{}}
-	d.latencies = d.record
+func newDriver(s Scenario, p policy, noColocation bool) *driver {
+	d := &driver{fake: newFake(s), policy: p, byID: map[string]*task{}, serviceOf: map[string]int{}}
+	d.recordLatency = d.record
 	for range d.services {
 		d.tails = append(d.tails, hdrhistogram.New(lowestNanos, highestNanos, digits))
 	}
 	for i := range s.Size.Workers {
-		at := i
-		if split {
-			at = i / 2
+		index := i
+		if noColocation {
+			index = i / 2
 		}
-		m := d.machines[at]
+		m := d.machines[index]
 		r := &replica{id: "r" + strconv.Itoa(i), service: i % len(d.services)}
 		m.replicas = append(m.replicas, r)
-		d.homes[r.id] = r.service
+		d.serviceOf[r.id] = r.service
 	}
 	return d
 }
@@ -94,10 +95,10 @@
 	if d.now <= d.scenario.Warmup {
 		return
 	}
-	_ = d.tails[service].RecordValues(int64(seconds*1e9), weight) // beyond the range only by a defect, and then p99 shows it
+	_ = d.tails[service].RecordValues(int64(seconds*1e9), weight) // only a defect gives a value out of range, and then the p99 shows it
 }
 
-// run plays the scenario and returns the figures after the warm-up.
+// run simulates the scenario and returns the figures after the warm-up.
 func (d *driver) run() Result {
 	arrivals := rand.New(rand.NewPCG(d.scenario.Seed, 2))
 	for d.now < d.scenario.Duration {
@@ -105,16 +106,16 @@
 			d.work, d.wasted, d.result = 0, 0, Result{}
 		}
 		d.advance()
-		for _, t := range d.submit(arrivals) {
+		for _, t := range d.newArrivals(arrivals) {
 			d.queue = append(d.queue, t)
 			b := &d.batch[t.class]
-			d.result.Arrived += b.work * cores(b.actual)
+			d.result.Arrived += b.work * coresOf(b.actual)
 		}
-		d.settle()
-		for _, r := range d.arrived() {
-			d.policy.report(d, r)
+		d.handleEndedTasks()
+		for _, r := range d.takeDueReports() {
+			d.policy.handleReport(d, r)
 		}
-		if d.now%roundEvery == 0 {
+		if d.now%roundInterval == 0 {
 			d.round()
 		}
 	}
@@ -134,11 +135,12 @@
 	return r
 }
 
-// settle takes note of tasks that ended by themselves.
-func (d *driver) settle() {
+// handleEndedTasks reports finished tasks to the policy and requeues the killed
+// ones.
+func (d *driver) handleEndedTasks() {
 	for _, t := range d.finished {
 		delete(d.byID, t.id)
-		d.policy.ended(d, t, true)
+		d.policy.taskEnded(d, t, true)
 	}
 	for _, t := range d.killed {
 		d.result.Killed++
@@ -150,11 +152,12 @@
 func (d *driver) requeue(t *task) {
 	delete(d.byID, t.id)
 	d.queue = append([]*task{t}, d.queue...)
-	d.policy.ended(d, t, false)
+	d.policy.taskEnded(d, t, false)
 }
 
-// round protects services, then starts what can be placed, in the order of
-// arrival. A class that finds no place isn't tried again in the round.
+// round protects services, then starts the queued tasks that fit, in the order
+// of arrival. Once a task of a class doesn't fit, the rest of the class waits
+// for the next round.
 func (d *driver) round() {
 	for _, m := range d.machines {
 		d.policy.protect(d, m)
@@ -164,14 +167,14 @@
 		if full[t.class] {
 			return false
 		}
-		at, ok := d.policy.choose(d, t)
+		index, ok := d.policy.choose(d, t)
 		if !ok {
 			full[t.class] = true
 			return false
 		}
-		d.start(at, t)
+		d.start(index, t)
 		d.byID[t.id] = t
-		d.policy.started(d, t)
+		d.policy.taskStarted(d, t)
 		return true
 	})
 }
@@ -187,16 +190,16 @@
 	t.percent = percent
 }
 
-// free returns what is not set aside on a machine.
+// free returns the unreserved resources of a machine.
 func (d *driver) free(m *machine) resource.Vector {
-	rest := d.scenario.Size.Capacity
+	free := d.scenario.Size.Capacity
 	for _, r := range m.replicas {
-		rest = rest.Sub(d.policy.reserve(d, r))
+		free = free.Sub(d.policy.replicaReservation(d, r))
 	}
 	for _, t := range m.tasks {
-		rest = rest.Sub(d.policy.need(d, t))
+		free = free.Sub(d.policy.taskReservation(d, t))
 	}
-	return rest
+	return free
 }
 
-func (d *driver) at() time.Time { return epoch.Add(d.now) }
+func (d *driver) clock() time.Time { return epoch.Add(d.now) }
--- a/bench/mixed/fake.go
+++ b/bench/mixed/fake.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	step           = time.Second
-	reportEvery    = 5 * time.Second
-	reportLost     = 0.01 // share of reports that never arrive
-	reportWild     = 0.01 // share of latencies that are far off
-	wildFactor     = 6.0
-	latencySigma   = 0.5 // of the logarithm of one answer's latency
-	tailOfMedian   = 3.2 // p99 over median at that sigma
-	restartCost    = 20  // seconds of work that a resumed task does again
-	shiftedPairs   = 0.25
-	batchCoupling  = 0.1 // of a pair's slowdown that batch tasks feel
-	serviceShare   = 0.5 // of a worker's processors that a replica declares
-	serviceMemory  = 0.25
-	samplesPerStep = 8
-	serviceClasses = 6
-	batchClasses   = 12
+	step             = time.Second
+	reportInterval   = 5 * time.Second
+	lostReportShare  = 0.01 // share of reports that never arrive
+	outlierShare     = 0.01 // share of reported latencies multiplied by outlierFactor
+	outlierFactor    = 6.0
+	latencySigma     = 0.5 // standard deviation of the logarithm of a request's latency
+	p99OverMedian    = 3.2 // ratio of p99 to median at latencySigma
+	restartCost      = 20  // seconds of work that a resumed task repeats
+	redrawnPairShare = 0.25
+	batchCoupling    = 0.1 // per noisy batch task and again on their sum: each slows batch tasks by 1 %
+	serviceShare     = 0.5 // share of a worker's processors that a replica declares
+	serviceMemory    = 0.25
+	samplesPerStep   = 8
+	serviceClasses   = 6
+	batchClasses     = 12
 )
 
-// serviceClass is a service. Its load swings around a level that shifts.
+// serviceClass is a service. Its load oscillates around a level that changes
+// once, at half of the run.
 type serviceClass struct {
-	name    string
-	base    float64 // seconds, median of an unloaded replica
-	rate    float64 // requests per second and replica at full load
-	level   [2]float64
-	swing   float64
-	phase   float64
-	declare resource.Vector
+	name     string
+	base     float64 // seconds, median of an unloaded replica
+	rate     float64 // requests per second of a replica at full load
+	level    [2]float64
+	swing    float64
+	phase    float64
+	declared resource.Vector
 }
 
-// batchClass is a job's kind of task.
+// batchClass describes the tasks of a job.
 type batchClass struct {
-	name     string // of the class: group and job
-	group    string
-	job      string
-	actual   resource.Vector
-	declared resource.Vector
-	work     float64 // seconds at full speed
-	guess    time.Duration
-	every    float64 // seconds of work between checkpoints
-	noisy    bool
+	name               string // group and job
+	group              string
+	job                string
+	actual             resource.Vector
+	declared           resource.Vector
+	work               float64 // seconds at full speed
+	declaredDuration   time.Duration
+	checkpointInterval float64 // seconds of work between checkpoints
+	noisy              bool
 }
 
-// replica is a service on a worker.
+// replica is a replica of a service on a worker.
 type replica struct {
 	id      string
 	service int
@@ -69,25 +70,25 @@
 	tasks    []*task
 }
 
-// fake stands in for the workers: it runs what it is given, slows it by a
-// hidden table of pairs and reports late.
+// fake simulates the workers: it runs tasks and services, slows services down
+// by a hidden table of pairs and reports usage with a lag.
 type fake struct {
-	scenario  Scenario
-	random    *rand.Rand
-	now       time.Duration
-	services  []serviceClass
-	batch     []batchClass
-	pairs     [2][][]float64 // by phase, victim and culprit
-	machines  []*machine
-	reports   []lateReport
-	normals   []float64
-	cursor    int
-	finished  []*task
-	killed    []*task
-	nextTask  int
-	latencies func(service int, seconds float64, weight int64)
-	work      float64 // core seconds of progress
-	wasted    float64 // core seconds of progress thrown away
+	scenario      Scenario
+	random        *rand.Rand
+	now           time.Duration
+	services      []serviceClass
+	batch         []batchClass
+	pairs         [2][][]float64 // slowdown by phase, service and batch class
+	machines      []*machine
+	reports       []lateReport
+	normals       []float64
+	nextNormal    int
+	finished      []*task
+	killed        []*task
+	nextTask      int
+	recordLatency func(service int, seconds float64, weight int64)
+	work          float64 // core seconds of progress
+	wasted        float64 // core seconds of lost progress
 }
 
 type lateReport struct {
@@ -118,19 +119,19 @@
 func (f *fake) makeServices() {
 	for i := range serviceClasses {
 		f.services = append(f.services, serviceClass{
-			name:    "service" + strconv.Itoa(i),
-			base:    f.between(0.005, 0.03),
-			rate:    f.between(40, 200),
-			level:   [2]float64{f.between(0.35, 0.65), f.between(0.35, 0.65)},
-			swing:   f.between(0.05, 0.15),
-			phase:   f.between(0, 2*math.Pi),
-			declare: f.part(serviceShare, serviceMemory),
+			name:     "service" + strconv.Itoa(i),
+			base:     f.between(0.005, 0.03),
+			rate:     f.between(40, 200),
+			level:    [2]float64{f.between(0.35, 0.65), f.between(0.35, 0.65)},
+			swing:    f.between(0.05, 0.15),
+			phase:    f.between(0, 2*math.Pi),
+			declared: f.capacityShare(serviceShare, serviceMemory),
 		})
 	}
 }
 
-// part returns shares of a worker's processors and memory.
-func (f *fake) part(processors, memory float64) resource.Vector {
+// capacityShare returns shares of a worker's processors and memory.
+func (f *fake) capacityShare(processors, memory float64) resource.Vector {
 	c := f.scenario.Size.Capacity
 	return resource.Vector{
 		Processors: int64(processors * float64(c.Processors)),
@@ -143,40 +144,40 @@
 	for i := range batchClasses {
 		share := shares[i%len(shares)]
 		b := batchClass{
-			group:  "group" + strconv.Itoa(i%3),
-			job:    "job" + strconv.Itoa(i),
-			actual: f.part(share, share*f.between(0.4, 0.9)),
-			work:   f.between(120, 900),
-			every:  f.between(60, 240),
-			noisy:  i%3 == 0,
+			group:              "group" + strconv.Itoa(i%3),
+			job:                "job" + strconv.Itoa(i),
+			actual:             f.capacityShare(share, share*f.between(0.4, 0.9)),
+			work:               f.between(120, 900),
+			checkpointInterval: f.between(60, 240),
+			noisy:              i%3 == 0,
 		}
 		b.name = b.group + "/" + b.job
 		b.declared = resource.Vector{
-			Processors: int64(float64(b.actual.Processors) * f.wrong()),
-			Memory:     int64(float64(b.actual.Memory) * f.wrong()),
+			Processors: int64(float64(b.actual.Processors) * f.declarationError()),
+			Memory:     int64(float64(b.actual.Memory) * f.declarationError()),
 		}
-		b.guess = time.Duration(b.work * f.wrong() * float64(time.Second))
+		b.declaredDuration = time.Duration(b.work * f.declarationError() * float64(time.Second))
 		f.batch = append(f.batch, b)
 	}
 }
 
-// wrong returns the factor of a declared figure over the true one.
-func (f *fake) wrong() float64 {
-	limit := math.Log(f.scenario.Wrong)
+// declarationError draws the ratio of a declared figure to the actual one.
+func (f *fake) declarationError() float64 {
+	limit := math.Log(f.scenario.DeclarationError)
 	return math.Exp(f.between(-limit, limit))
 }
 
-// makePairs draws the slowdown of each service by each batch class, and
-// draws some of them anew for the second half.
+// makePairs draws the slowdown of each service by each batch class, and redraws
+// some of them for the second half of the run.
 func (f *fake) makePairs() {
 	for range f.services {
 		first := make([]float64, len(f.batch))
 		second := make([]float64, len(f.batch))
 		for c := range f.batch {
-			first[c] = f.coupling(c)
+			first[c] = f.drawPairSlowdown(c)
 			second[c] = first[c]
-			if f.random.Float64() < shiftedPairs {
-				second[c] = f.coupling(c)
+			if f.random.Float64() < redrawnPairShare {
+				second[c] = f.drawPairSlowdown(c)
 			}
 		}
 		f.pairs[0] = append(f.pairs[0], first)
@@ -184,7 +185,7 @@
 	}
 }
 
-func (f *fake) coupling(class int) float64 {
+func (f *fake) drawPairSlowdown(class int) float64 {
 	if f.random.Float64() < 0.5 {
 		return 0
 	}
@@ -211,7 +212,8 @@
 	return s.level[f.phase()] + s.swing*math.Sin(turn+s.phase)
 }
 
-// slowdown returns the true factor on a service's latency by given tasks.
+// slowdown returns the actual factor on a service's latency when it runs beside
+// the given tasks.
 func (f *fake) slowdown(service int, tasks []*task) float64 {
 	sum := 0.0
 	for _, t := range tasks {
@@ -235,19 +237,19 @@
 }
 
 func (f *fake) serviceUse(service int) resource.Vector {
-	d := f.services[service].declare
+	d := f.services[service].declared
 	return resource.Vector{
 		Processors: int64(f.load(service) * float64(d.Processors)),
 		Memory:     d.Memory * 9 / 10,
 	}
 }
 
-// advance runs one step of virtual time.
+// advance simulates one step of virtual time.
 func (f *fake) advance() {
 	f.now += step
 	for _, m := range f.machines {
 		f.runMachine(m)
-		if f.now%reportEvery == 0 {
+		if f.now%reportInterval == 0 {
 			f.report(m)
 		}
 	}
@@ -264,38 +266,38 @@
 	}
 	contention := max(1, float64(used.Processors)/float64(capacity.Processors))
 	for _, r := range m.replicas {
-		f.serve(m, r, contention)
+		f.serveReplica(m, r, contention)
 	}
-	crowd := 0.0
+	noisyLoad := 0.0
 	for _, t := range m.tasks {
 		if f.batch[t.class].noisy {
-			crowd += batchCoupling * float64(t.percent) / 100
+			noisyLoad += batchCoupling * float64(t.percent) / 100
 		}
 	}
 	for _, t := range slices.Clone(m.tasks) {
-		f.run(t, contention*(1+batchCoupling*crowd))
+		f.runTask(t, contention*(1+batchCoupling*noisyLoad))
 	}
 }
 
-func (f *fake) serve(m *machine, r *replica, contention float64) {
+func (f *fake) serveReplica(m *machine, r *replica, contention float64) {
 	s := &f.services[r.service]
 	load := f.load(r.service)
 	median := s.base * (1 + load*load) * f.slowdown(r.service, m.tasks) * contention * contention
-	r.latency += median * tailOfMedian
+	r.latency += median * p99OverMedian
 	r.steps++
 	weight := int64(load*s.rate)/samplesPerStep + 1
 	for range samplesPerStep {
-		f.cursor = (f.cursor + 1) % len(f.normals)
-		f.latencies(r.service, median*math.Exp(latencySigma*f.normals[f.cursor]), weight)
+		f.nextNormal = (f.nextNormal + 1) % len(f.normals)
+		f.recordLatency(r.service, median*math.Exp(latencySigma*f.normals[f.nextNormal]), weight)
 	}
 }
 
-func (f *fake) run(t *task, slow float64) {
+func (f *fake) runTask(t *task, slowdown float64) {
 	b := &f.batch[t.class]
-	speed := float64(t.percent) / 100 / slow
+	speed := float64(t.percent) / 100 / slowdown
 	t.progress += speed * step.Seconds()
-	f.work += speed * step.Seconds() * cores(b.actual)
-	if t.progress-t.saved >= b.every {
+	f.work += speed * step.Seconds() * coresOf(b.actual)
+	if t.progress-t.saved >= b.checkpointInterval {
 		t.saved, t.savedAt = t.progress, f.now
 	}
 	if t.progress >= b.work {
@@ -304,7 +306,7 @@
 	}
 }
 
-func cores(v resource.Vector) float64 { return float64(v.Processors) / 1000 }
+func coresOf(v resource.Vector) float64 { return float64(v.Processors) / 1000 }
 
 // start begins a task on a worker.
 func (f *fake) start(worker int, t *task) {
@@ -314,11 +316,11 @@
 	m.tasks = append(m.tasks, t)
 }
 
-// stop ends a task, which falls back to its last checkpoint.
+// stop ends a task and returns its progress to the last checkpoint.
 func (f *fake) stop(t *task) {
 	f.detach(t)
 	lost := t.progress - max(t.saved-restartCost, 0)
-	f.wasted += lost * cores(f.batch[t.class].actual)
+	f.wasted += lost * coresOf(f.batch[t.class].actual)
 	t.progress -= lost
 	t.saved = t.progress
 }
@@ -328,21 +330,21 @@
 	m.tasks = slices.DeleteFunc(m.tasks, func(o *task) bool { return o == t })
 }
 
-// report queues a machine's report for delivery after the lag.
+// report queues a machine's usage report for delivery after the lag.
 func (f *fake) report(m *machine) {
 	r := provider.Report{Worker: m.name}
 	at := epoch.Add(f.now)
 	for _, p := range m.replicas {
 		seconds := p.latency / float64(max(p.steps, 1)) * math.Exp(f.scenario.Noise*f.random.NormFloat64())
-		if f.random.Float64() < reportWild {
-			seconds *= wildFactor
+		if f.random.Float64() < outlierShare {
+			seconds *= outlierFactor
 		}
 		p.latency, p.steps = 0, 0
 		s := &f.services[p.service]
 		r.Usage = append(r.Usage, provider.Usage{
-			Task: p.id, Measured: at, Interval: reportEvery, Used: f.serviceUse(p.service),
+			Task: p.id, Measured: at, Interval: reportInterval, Used: f.serviceUse(p.service),
 			Latency:  time.Duration(seconds * float64(time.Second)),
-			Requests: int(f.load(p.service) * s.rate * reportEvery.Seconds()),
+			Requests: int(f.load(p.service) * s.rate * reportInterval.Seconds()),
 		})
 	}
 	for _, t := range m.tasks {
@@ -350,17 +352,17 @@
 		noise := math.Exp(f.scenario.Noise * f.random.NormFloat64())
 		used.Processors = int64(float64(used.Processors) * noise * float64(t.percent) / 100)
 		r.Usage = append(r.Usage, provider.Usage{
-			Task: t.id, Group: f.batch[t.class].group, Measured: at, Interval: reportEvery, Used: used,
+			Task: t.id, Group: f.batch[t.class].group, Measured: at, Interval: reportInterval, Used: used,
 		})
 	}
-	late := time.Duration(float64(f.scenario.Lag) * f.between(0.8, 1.2))
-	if f.random.Float64() >= reportLost && !f.scenario.mute(f.now, m) {
-		f.reports = append(f.reports, lateReport{f.now + late, r})
+	lag := time.Duration(float64(f.scenario.Lag) * f.between(0.8, 1.2))
+	if f.random.Float64() >= lostReportShare && !f.scenario.isSilent(f.now, m) {
+		f.reports = append(f.reports, lateReport{f.now + lag, r})
 	}
 }
 
-// arrived returns the reports that are due.
-func (f *fake) arrived() []provider.Report {
+// takeDueReports removes and returns the reports that are due.
+func (f *fake) takeDueReports() []provider.Report {
 	var due []provider.Report
 	f.reports = slices.DeleteFunc(f.reports, func(r lateReport) bool {
 		if r.due > f.now {
@@ -372,15 +374,15 @@
 	return due
 }
 
-// submit returns the tasks that arrive in this step. The same seed gives the
-// same arrivals under every policy.
-func (f *fake) submit(arrivals *rand.Rand) []*task {
+// newArrivals returns the tasks that arrive in this step. For the same seed, the
+// arrivals are the same under every policy.
+func (f *fake) newArrivals(arrivals *rand.Rand) []*task {
 	var list []*task
-	wave := f.scenario.wave(f.now)
-	demand := f.scenario.Demand * cores(f.scenario.Size.Capacity) * float64(f.scenario.Size.Workers)
+	wave := f.scenario.arrivalFactor(f.now)
+	demand := f.scenario.Demand * coresOf(f.scenario.Size.Capacity) * float64(f.scenario.Size.Workers)
 	for c := range f.batch {
 		b := &f.batch[c]
-		rate := demand / float64(len(f.batch)) / (b.work * cores(b.actual))
+		rate := demand / float64(len(f.batch)) / (b.work * coresOf(b.actual))
 		if b.noisy {
 			rate *= wave
 		}
--- a/bench/mixed/interference_aware.go
+++ b/bench/mixed/interference_aware.go
@@ -12,9 +12,10 @@
 	"github.com/dogwoodladder/dogwoodladder/usage"
 )
 
-// informed drives the real packages. As an oracle it takes slowdowns and
-// sizes from the fake's own tables, without lag or noise.
-type informed struct {
+// interferenceAware decides with packages usage, interference, placement and
+// mitigation. As an oracle it takes slowdowns and sizes from the tables of the
+// simulation, without lag or noise.
+type interferenceAware struct {
 	oracle  bool
 	sizes   *usage.Sizes
 	pairs   *interference.Estimator
@@ -22,23 +23,23 @@
 	ladder  *mitigation.Ladder
 }
 
-func newInformed(s Scenario, oracle bool, tune Tuning) *informed {
+func newInterferenceAware(s Scenario, oracle bool, tuning Tuning) *interferenceAware {
 	pairs := []interference.Option{
 		interference.WithLagBound(2*s.Lag + time.Minute),
 		interference.WithSilence(2*s.Lag + 30*time.Second),
 	}
-	return &informed{
+	return &interferenceAware{
 		oracle:  oracle,
-		sizes:   usage.New(tune.Sizes...),
-		pairs:   interference.New(append(pairs, tune.Pairs...)...),
-		planner: placement.New(tune.Planner...),
-		ladder:  mitigation.New(append([]mitigation.Option{mitigation.WithBudget(32, 128, 10*time.Minute)}, tune.Ladder...)...),
+		sizes:   usage.New(tuning.Sizes...),
+		pairs:   interference.New(append(pairs, tuning.Pairs...)...),
+		planner: placement.New(tuning.Planner...),
+		ladder:  mitigation.New(append([]mitigation.Option{mitigation.WithBudget(32, 128, 10*time.Minute)}, tuning.Ladder...)...),
 	}
 }
 
-func (p *informed) choose(d *driver, t *task) (int, bool) {
-	need := p.need(d, t)
-	added := p.describe(d, t)
+func (p *interferenceAware) choose(d *driver, t *task) (int, bool) {
+	need := p.taskReservation(d, t)
+	added := p.taskOf(d, t)
 	candidates := make([]placement.Candidate, 0, len(d.machines))
 	index := map[string]int{}
 	for i, m := range d.machines {
@@ -48,21 +49,21 @@
 		}
 		c := placement.Candidate{
 			Worker: m.name, Capacity: d.scenario.Size.Capacity, Free: free,
-			Services: len(m.replicas), Silent: !p.oracle && p.pairs.Silent(d.at(), m.name),
+			Services: len(m.replicas), Silent: !p.oracle && p.pairs.Silent(d.clock(), m.name),
 		}
-		c.Now, c.Slowdown = p.worst(d, m, nil), p.worst(d, m, &added)
+		c.Now, c.Slowdown = p.worstLevel(d, m, nil), p.worstLevel(d, m, &added)
 		candidates = append(candidates, c)
 		index[m.name] = i
 	}
-	worker, ok := p.planner.Choose(d.at(), placement.Task{ID: t.id, Class: added.Class, Kind: added.Kind, Need: need}, candidates)
+	worker, ok := p.planner.Choose(d.clock(), placement.Task{ID: t.id, Class: added.Class, Kind: added.Kind, Need: need}, candidates)
 	return index[worker], ok
 }
 
-func (p *informed) describe(d *driver, t *task) interference.Task {
+func (p *interferenceAware) taskOf(d *driver, t *task) interference.Task {
 	return interference.Task{ID: t.id, Class: d.batch[t.class].name, Kind: provider.KindBatch}
 }
 
-func (p *informed) worst(d *driver, m *machine, add *interference.Task) float64 {
+func (p *interferenceAware) worstLevel(d *driver, m *machine, add *interference.Task) float64 {
 	worst := 1.0
 	for _, v := range p.victims(d, m, add) {
 		worst = max(worst, v.Level)
@@ -70,18 +71,19 @@
 	return worst
 }
 
-func (p *informed) victims(d *driver, m *machine, add *interference.Task) []interference.Victim {
+func (p *interferenceAware) victims(d *driver, m *machine, add *interference.Task) []interference.Victim {
 	if p.oracle {
-		return d.truth(m, add)
+		return d.trueVictims(m, add)
 	}
 	if add != nil {
-		return p.pairs.Pressure(d.at(), m.name, *add)
+		return p.pairs.Pressure(d.clock(), m.name, *add)
 	}
-	return p.pairs.Pressure(d.at(), m.name)
+	return p.pairs.Pressure(d.clock(), m.name)
 }
 
-// truth is what the oracle sees.
-func (d *driver) truth(m *machine, add *interference.Task) []interference.Victim {
+// trueVictims returns the actual slowdowns of the replicas on a machine, for
+// the oracle. A non-nil add is included as if it ran there.
+func (d *driver) trueVictims(m *machine, add *interference.Task) []interference.Victim {
 	tasks := m.tasks
 	for c := range d.batch {
 		if add != nil && d.batch[c].name == add.Class {
@@ -92,7 +94,7 @@
 	contention := max(1, float64(used.Processors)/float64(capacity.Processors))
 	var list []interference.Victim
 	for _, r := range m.replicas {
-		v := interference.Victim{Task: r.id, Class: d.services[r.service].name, Confidence: 1, From: d.at()}
+		v := interference.Victim{Task: r.id, Class: d.services[r.service].name, Confidence: 1, From: d.clock()}
 		v.Predicted = d.slowdown(r.service, tasks)
 		v.Level = v.Predicted * contention * contention
 		v.Observed = v.Level
@@ -109,7 +111,7 @@
 	return list
 }
 
-func (p *informed) need(d *driver, t *task) resource.Vector {
+func (p *interferenceAware) taskReservation(d *driver, t *task) resource.Vector {
 	b := &d.batch[t.class]
 	if p.oracle {
 		return b.actual
@@ -117,76 +119,76 @@
 	return p.sizes.Need(b.name, b.declared)
 }
 
-func (p *informed) reserve(d *driver, r *replica) resource.Vector {
+func (p *interferenceAware) replicaReservation(d *driver, r *replica) resource.Vector {
 	s := &d.services[r.service]
 	if p.oracle {
 		return d.serviceUse(r.service)
 	}
-	return p.sizes.Need(s.name, s.declare)
+	return p.sizes.Need(s.name, s.declared)
 }
 
-func (p *informed) started(d *driver, t *task) {
-	p.pairs.Placed(d.at(), d.machines[t.worker].name, p.describe(d, t))
+func (p *interferenceAware) taskStarted(d *driver, t *task) {
+	p.pairs.Placed(d.clock(), d.machines[t.worker].name, p.taskOf(d, t))
 }
 
-func (p *informed) ended(d *driver, t *task, done bool) {
-	p.pairs.Removed(d.at(), d.machines[t.worker].name, t.id)
+func (p *interferenceAware) taskEnded(d *driver, t *task, done bool) {
+	p.pairs.Removed(d.clock(), d.machines[t.worker].name, t.id)
 	b := &d.batch[t.class]
 	if done && t.percent == 100 && t.resumed == 0 {
-		p.sizes.Finished(d.at(), b.name, b.guess, d.now-t.started)
+		p.sizes.Finished(d.clock(), b.name, b.declaredDuration, d.now-t.started)
 	}
 }
 
-func (p *informed) report(d *driver, r provider.Report) {
+func (p *interferenceAware) handleReport(d *driver, r provider.Report) {
 	for _, u := range r.Usage {
-		if p.pairs.Observe(d.at(), r.Worker, u) != interference.Used {
+		if p.pairs.Observe(d.clock(), r.Worker, u) != interference.Used {
 			continue
 		}
 		if t := d.byID[u.Task]; t != nil && t.percent == 100 {
 			b := &d.batch[t.class]
-			p.sizes.Observe(d.at(), b.name, b.declared, u.Used)
+			p.sizes.Observe(d.clock(), b.name, b.declared, u.Used)
 		}
 		if u.Latency > 0 {
-			s := &d.services[d.homes[u.Task]]
-			p.sizes.Observe(d.at(), s.name, s.declare, u.Used)
+			s := &d.services[d.serviceOf[u.Task]]
+			p.sizes.Observe(d.clock(), s.name, s.declared, u.Used)
 		}
 	}
 }
 
-func (p *informed) protect(d *driver, m *machine) {
+func (p *interferenceAware) protect(d *driver, m *machine) {
 	if len(m.replicas) == 0 {
 		return
 	}
 	in := mitigation.Worker{ID: m.name, Victims: p.victims(d, m, nil)}
 	if !p.oracle {
-		in.Silent = p.pairs.Silent(d.at(), m.name)
+		in.Silent = p.pairs.Silent(d.clock(), m.name)
 	}
 	capacity := float64(d.scenario.Size.Capacity.Processors)
 	for _, r := range m.replicas {
-		in.Load += float64(p.reserve(d, r).Processors) / capacity
+		in.Load += float64(p.replicaReservation(d, r).Processors) / capacity
 	}
 	for _, t := range m.tasks {
-		a := p.account(d, t)
-		a.Share = float64(p.need(d, t).Processors) / capacity
+		a := p.mitigationTask(d, t)
+		a.Share = float64(p.taskReservation(d, t).Processors) / capacity
 		in.Load += a.Share * float64(t.percent) / 100
 		in.Tasks = append(in.Tasks, a)
 	}
-	for _, a := range p.ladder.Decide(d.at(), in) {
-		p.carryOut(d, m, a)
+	for _, a := range p.ladder.Decide(d.clock(), in) {
+		p.apply(d, m, a)
 	}
 }
 
-func (p *informed) account(d *driver, t *task) mitigation.Task {
+func (p *interferenceAware) mitigationTask(d *driver, t *task) mitigation.Task {
 	b := &d.batch[t.class]
-	whole := p.sizes.Duration(b.name, b.guess)
+	duration := p.sizes.Duration(b.name, b.declaredDuration)
 	ran := d.now - t.started + time.Duration(t.resumed*float64(time.Second))
 	return mitigation.Task{
 		ID: t.id, Job: b.job, Group: b.group, Percent: t.percent,
-		Lost: d.now - t.savedAt, Remaining: max(whole-ran, 0),
+		Lost: d.now - t.savedAt, Remaining: max(duration-ran, 0),
 	}
 }
 
-func (p *informed) carryOut(d *driver, m *machine, a mitigation.Action) {
+func (p *interferenceAware) apply(d *driver, m *machine, a mitigation.Action) {
 	if a.Kind == mitigation.Move {
 		d.result.Moves++
 		return
@@ -197,15 +199,15 @@
 		return
 	}
 	d.setThrottle(t, a.Percent)
-	p.pairs.Throttled(d.at(), m.name, a.Task, a.Percent)
+	p.pairs.Throttled(d.clock(), m.name, a.Task, a.Percent)
 }
 
-// introduce tells the estimator of the services.
-func (p *informed) introduce(d *driver) {
+// registerServices reports the placement of all replicas to the estimator.
+func (p *interferenceAware) registerServices(d *driver) {
 	for _, m := range d.machines {
 		for _, r := range m.replicas {
 			name := d.services[r.service].name
-			p.pairs.Placed(d.at(), m.name, interference.Task{ID: r.id, Class: name, Kind: provider.KindService})
+			p.pairs.Placed(d.clock(), m.name, interference.Task{ID: r.id, Class: name, Kind: provider.KindService})
 		}
 	}
 }
--- a/bench/mixed/mixed.go
+++ b/bench/mixed/mixed.go
@@ -1,16 +1,16 @@
-// Package mixed measures the decisions about what runs beside what: it feeds
-// the real packages usage, interference, placement and mitigation from a
-// small fake of workers with a hidden table of pairwise slowdowns, and
-// compares them with simpler policies and with an oracle.
+// Package mixed measures the colocation of batch tasks with services. It feeds
+// the packages usage, interference, placement and mitigation from simulated
+// workers with a hidden table of pairwise slowdowns, and compares their
+// decisions with simpler policies and with an oracle.
 //
 // Usage:
 //
 //	err := mixed.New(mixed.WithSeeds(5)).Run(os.Stdout)
 //
 // Run prints Markdown tables. All time is virtual and all seeds are fixed, so
-// the same options print the same figures. The fake models nothing but what
-// the decisions are fed with; it is no cluster simulator. Services don't
-// disturb each other in it, and moves of services are counted, not done.
+// the same options print the same figures. The simulation models only the
+// inputs of the decisions: services don't slow each other down, and moves of
+// services are counted but not carried out.
 package mixed
 
 import (
@@ -39,7 +39,7 @@
 	return b
 }
 
-// Tuning is options passed on to the packages under measurement.
+// Tuning holds options for the packages under measurement.
 type Tuning struct {
 	Sizes   []usage.Option
 	Pairs   []interference.Option
@@ -47,8 +47,7 @@
 	Ladder  []mitigation.Option
 }
 
-// Run prints the tables that the options name. A name that there isn't gives
-// fault.Invalid.
+// Run prints the selected tables. An unknown section name gives fault.Invalid.
 func (b *Bench) Run(w io.Writer) error {
 	for _, name := range b.sections {
 		if !slices.ContainsFunc(sections, func(s section) bool { return s.name == name }) {
@@ -56,7 +55,7 @@
 		}
 	}
 	for _, section := range sections {
-		if !b.wants(section.name) {
+		if !b.hasSection(section.name) {
 			continue
 		}
 		if err := section.print(b, w); err != nil {
@@ -68,31 +67,31 @@
 
 // Names of policies.
 const (
-	nameSplit    = "no colocation"
-	nameBestFit  = "best fit"
-	nameRandom   = "random"
-	nameThrottle = "threshold throttling"
-	nameEvict    = "threshold eviction"
-	namePolicy   = "this policy"
-	nameOracle   = "oracle"
+	nameNoColocation = "no colocation"
+	nameBestFit      = "best fit"
+	nameRandom       = "random"
+	nameThrottle     = "threshold throttling"
+	nameEvict        = "threshold eviction"
+	namePolicy       = "this policy"
+	nameOracle       = "oracle"
 )
 
-// play runs one policy over one scenario.
-func (b *Bench) play(name string, s Scenario) Result {
+// runPolicy runs a scenario under the policy of a name.
+func (b *Bench) runPolicy(name string, s Scenario) Result {
 	switch name {
-	case nameSplit:
-		return newDriver(s, &blind{split: true}, true).run()
+	case nameNoColocation:
+		return newDriver(s, &declaredSizes{noColocation: true}, true).run()
 	case nameBestFit:
-		return newDriver(s, &blind{}, false).run()
+		return newDriver(s, &declaredSizes{}, false).run()
 	case nameRandom:
-		return newDriver(s, &blind{random: rand.New(rand.NewPCG(s.Seed, 3))}, false).run()
+		return newDriver(s, &declaredSizes{random: rand.New(rand.NewPCG(s.Seed, 3))}, false).run()
 	case nameThrottle:
 		return newDriver(s, newThreshold(b.threshold, false), false).run()
 	case nameEvict:
 		return newDriver(s, newThreshold(b.threshold, true), false).run()
 	}
-	p := newInformed(s, name == nameOracle, b.tuning)
+	p := newInterferenceAware(s, name == nameOracle, b.tuning)
 	d := newDriver(s, p, false)
-	p.introduce(d)
+	p.registerServices(d)
 	return d.run()
 }
--- a/bench/mixed/mixed_test.go
+++ b/bench/mixed/mixed_test.go
@@ -21,7 +21,7 @@
 		tables[i] = out.String()
 	}
 	is.Equal(tables[0], tables[1])
-	is.Equal(strings.Count(tables[0], "\n| "), 5) // a head and four rows
+	is.Equal(strings.Count(tables[0], "\n| "), 5) // a header and four rows
 }
 
 func TestUnknownSectionIsRefused(t *testing.T) {
--- a/bench/mixed/options.go
+++ b/bench/mixed/options.go
@@ -10,7 +10,7 @@
 
 type options struct {
 	seeds     int
-	first     uint64
+	firstSeed uint64
 	duration  time.Duration
 	threshold float64
 	parallel  int
@@ -19,32 +19,33 @@
 }
 
 func defaults() options {
-	return options{seeds: 5, first: 1, duration: 80 * time.Minute, threshold: 1.25, parallel: 2}
+	return options{seeds: 5, firstSeed: 1, duration: 80 * time.Minute, threshold: 1.25, parallel: 2}
 }
 
-// WithSeeds sets over how many seeds each figure is taken (default 5).
+// WithSeeds sets the number of seeds that each figure is averaged over
+// (default 5).
 func WithSeeds(n int) Option {
 	return func(o *options) { o.seeds = n }
 }
 
 // WithFirstSeed sets the lowest seed (default 1).
 func WithFirstSeed(seed uint64) Option {
-	return func(o *options) { o.first = seed }
+	return func(o *options) { o.firstSeed = seed }
 }
 
-// WithDuration sets the virtual time of a run, of which the first 10 minutes
-// are left out (default 80 minutes).
+// WithDuration sets the virtual time of a run (default 80 minutes). The first
+// 10 minutes are excluded from the results.
 func WithDuration(d time.Duration) Option {
 	return func(o *options) { o.duration = d }
 }
 
-// WithThreshold sets the limit of the threshold policies, as a multiple of a
-// service's latency alone (default 1.25).
+// WithThreshold sets the limit of the threshold policies as a multiple of a
+// service's latency without colocation (default 1.25).
 func WithThreshold(ratio float64) Option {
 	return func(o *options) { o.threshold = ratio }
 }
 
-// WithParallel sets how many runs go on at once (default 2).
+// WithParallel sets how many runs execute concurrently (default 2).
 func WithParallel(n int) Option {
 	return func(o *options) { o.parallel = n }
 }
@@ -60,6 +61,6 @@
 	return func(o *options) { o.tuning = t }
 }
 
-func (o *options) wants(section string) bool {
+func (o *options) hasSection(section string) bool {
 	return len(o.sections) == 0 || slices.Contains(o.sections, section)
 }
--- a/bench/mixed/table.go
+++ b/bench/mixed/table.go
@@ -31,9 +31,9 @@
 	{"silence", (*Bench).silence},
 }
 
-var allPolicies = []string{nameSplit, nameBestFit, nameRandom, nameThrottle, nameEvict, namePolicy, nameOracle}
+var allPolicies = []string{nameNoColocation, nameBestFit, nameRandom, nameThrottle, nameEvict, namePolicy, nameOracle}
 
-// row is one line of a table: a policy over all seeds of a scenario.
+// row is one line of a table: a scenario under a policy, for all seeds.
 type row struct {
 	label    string
 	policy   string
@@ -66,9 +66,9 @@
 	return b.table(w, "Mizani: threshold eviction by its limit", rows)
 }
 
-// parts shows what each part of the policy is worth.
+// parts compares the policy with variants that lack one of its parts.
 func (b *Bench) parts(w io.Writer) error {
-	return b.tuned(w, "Mizani: parts of the policy", Mizani(), []tuned{
+	return b.compareTunings(w, "Mizani: parts of the policy", Mizani(), []labelledTuning{
 		{namePolicy, Tuning{}},
 		{"no throttling, evictions without budget", Tuning{Ladder: []mitigation.Option{
 			mitigation.WithFloors(100, 100), mitigation.WithBudget(math.MaxInt, math.MaxInt, time.Minute)}}},
@@ -79,7 +79,7 @@
 }
 
 func (b *Bench) objectives(w io.Writer) error {
-	return b.tuned(w, "Bureau: objectives", Bureau(), []tuned{
+	return b.compareTunings(w, "Bureau: objectives", Bureau(), []labelledTuning{
 		{"defaults", Tuning{}},
 		{"tail weight 20", Tuning{Ladder: []mitigation.Option{mitigation.WithTailWeight(20)}}},
 		{"eviction cost 15 min", Tuning{Ladder: []mitigation.Option{mitigation.WithEvictionCost(15 * time.Minute)}}},
@@ -87,15 +87,15 @@
 	})
 }
 
-// tuned is this policy with other options.
-type tuned struct {
+// labelledTuning is a variant of the policy with other options.
+type labelledTuning struct {
 	label  string
 	tuning Tuning
 }
 
-func (b *Bench) tuned(w io.Writer, title string, size Size, list []tuned) error {
+func (b *Bench) compareTunings(w io.Writer, title string, size Size, tunings []labelledTuning) error {
 	var rows []*row
-	for _, t := range list {
+	for _, t := range tunings {
 		other := *b
 		other.tuning = t.tuning
 		rows = append(rows, other.row(t.label, namePolicy, normal(size, 0)))
@@ -122,21 +122,21 @@
 
 func (b *Bench) wrongSizes(w io.Writer) error {
 	return b.sweep(w, "Mizani: declared sizes and run times off by up to", []variant{
-		{"nothing", func(s *Scenario) { s.Wrong = 1 }},
-		{"4 times", func(s *Scenario) { s.Wrong = 4 }},
+		{"nothing", func(s *Scenario) { s.DeclarationError = 1 }},
+		{"4 times", func(s *Scenario) { s.DeclarationError = 4 }},
 	})
 }
 
 func (b *Bench) waves(w io.Writer) error {
 	return b.sweep(w, "Mizani: waves of noisy tasks", []variant{
-		{"none", func(s *Scenario) { s.Wave = 1 }},
-		{"6 times", func(s *Scenario) { s.Wave = 6 }},
+		{"none", func(s *Scenario) { s.WaveFactor = 1 }},
+		{"6 times", func(s *Scenario) { s.WaveFactor = 6 }},
 	})
 }
 
 func (b *Bench) silence(w io.Writer) error {
 	return b.sweep(w, "Mizani: reports of a third of the workers", []variant{
-		{"stop for 10 min", func(s *Scenario) { s.Silent = true }},
+		{"stop for 10 min", func(s *Scenario) { s.SilentWorkers = true }},
 	})
 }
 
@@ -163,13 +163,13 @@
 	return &row{label: label, policy: policy, scenario: s, bench: b, results: make([]Result, b.seeds)}
 }
 
-// table plays all rows and, for reference, the split and the oracle of each
-// scenario, and prints one line a row.
+// table runs all rows, and the policies without colocation and of the oracle
+// as references for each scenario. It prints one line per row.
 func (b *Bench) table(w io.Writer, title string, rows []*row) error {
 	references := map[string]*row{}
 	all := slices.Clone(rows)
 	for _, r := range rows {
-		for _, name := range []string{nameSplit, nameOracle} {
+		for _, name := range []string{nameNoColocation, nameOracle} {
 			key := name + fmt.Sprint(r.scenario)
 			if references[key] == nil {
 				references[key] = b.row(name, name, r.scenario)
@@ -177,21 +177,21 @@
 			}
 		}
 	}
-	b.playAll(all)
+	b.runAll(all)
 	var out strings.Builder
 	fmt.Fprintf(&out, "\n### %s\n\n", title)
-	fmt.Fprintf(&out, "Seeds %d to %d, %v of virtual time, mean (least to most). Tail: p99 of each service over the one without colocation, mean over services; worst: the highest of a service. Batch: core hours an hour that count, and over the oracle's.\n\n", b.first, b.first+uint64(b.seeds)-1, b.duration)
+	fmt.Fprintf(&out, "Seeds %d to %d, %v of virtual time, mean (least to most). Tail: p99 of each service over the one without colocation, mean over services; worst: the highest of a service. Batch: core hours an hour that count, and over the oracle's.\n\n", b.firstSeed, b.firstSeed+uint64(b.seeds)-1, b.duration)
 	out.WriteString("| | tail | worst tail | batch | of oracle | evictions | out of memory | wasted | throttles | moves asked |\n|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
 		key := fmt.Sprint(r.scenario)
-		r.write(&out, references[nameSplit+key], references[nameOracle+key])
+		r.write(&out, references[nameNoColocation+key], references[nameOracle+key])
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
 }
 
-// playAll plays each seed of each row, some at once.
-func (b *Bench) playAll(rows []*row) {
+// runAll runs every seed of every row, up to b.parallel of them concurrently.
+func (b *Bench) runAll(rows []*row) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, b.parallel)
 	for _, r := range rows {
@@ -200,8 +200,8 @@
 			wait.Go(func() {
 				defer func() { <-slots }()
 				s := r.scenario
-				s.Seed = r.bench.first + uint64(i)
-				r.results[i] = r.bench.play(r.policy, s)
+				s.Seed = r.bench.firstSeed + uint64(i)
+				r.results[i] = r.bench.runPolicy(r.policy, s)
 			})
 		}
 	}
@@ -225,7 +225,7 @@
 	out.WriteString(" |\n")
 }
 
-// spread formats the mean, and the least and most when they differ.
+// spread formats the mean, followed by the minimum and maximum if they differ.
 func spread(format string, n int, value func(i int) float64) string {
 	values := make([]float64, n)
 	for i := range values {
