--- a/bench/batch/batch.go
+++ b/bench/batch/batch.go
@@ -1,16 +1,15 @@
-// Package batch measures batch work at the planned size: it drives the real
-// packages controller, zone, follower and appender against a small fake log
-// and stand-ins of workers, in virtual time.
+// Package batch measures batch work at the planned size of a site. It runs
+// packages controller, zone, follower and appender against a simulated log and
+// stand-in workers, in virtual time.
 //
 // Usage:
 //
 //	err := batch.New().Run(os.Stdout)
 //
 // Run prints Markdown tables. All time is virtual and all seeds are fixed, so
-// the same options give the same figures, but for those of processor time and
-// memory, which are of this machine. Sizes on the wire are taken with the
-// real clients and servers on connections in memory, without the headers of
-// TCP and IP.
+// the same options give the same figures, except for processor time and memory,
+// which depend on the machine. Message sizes are measured with the real clients
+// and servers on in-memory connections, without TCP and IP headers.
 package batch
 
 import (
@@ -43,12 +42,12 @@
 	return func(b *Bench) { b.size = s }
 }
 
-// WithSeed sets what the random choices follow from (default 1).
+// WithSeed sets the seed of random choices (default 1).
 func WithSeed(seed uint64) Option {
 	return func(b *Bench) { b.seed = seed }
 }
 
-// WithParallel sets how many runs go on at once (default 3).
+// WithParallel sets how many runs execute concurrently (default 3).
 func WithParallel(n int) Option {
 	return func(b *Bench) { b.parallel = n }
 }
@@ -71,12 +70,12 @@
 	return func(b *Bench) { b.sections = names }
 }
 
-// publications is the interval of 1,100 publications a day.
-const publications = 24 * time.Hour / 1100
+// publicationInterval is the mean interval at 1,100 publications a day.
+const publicationInterval = 24 * time.Hour / 1100
 
 // New returns a Bench.
 func New(opts ...Option) *Bench {
-	b := &Bench{size: Planned(), seed: 1, parallel: 3, outage: 10 * time.Minute, window: publications.Round(time.Second)}
+	b := &Bench{size: Planned(), seed: 1, parallel: 3, outage: 10 * time.Minute, window: publicationInterval.Round(time.Second)}
 	for _, opt := range opts {
 		opt(b)
 	}
@@ -97,7 +96,7 @@
 	{"configuration", (*Bench).configuration},
 }
 
-// Run prints the tables that the options name.
+// Run prints the selected tables.
 func (b *Bench) Run(w io.Writer) error {
 	sizes, err := calibrate(b.size.Services)
 	if err != nil {
@@ -118,14 +117,15 @@
 var (
 	smallNeed = resource.Vector{Processors: 2000, Memory: 8 << 10}
 	hugeNeed  = resource.Vector{Processors: 20_000, Memory: 64 << 10}
-	wideNeed  = resource.Vector{Processors: 7000, Memory: 24 << 10} // the running tasks then take nearly all room
+	wideNeed  = resource.Vector{Processors: 7000, Memory: 24 << 10} // the running tasks then take nearly the whole capacity
 )
 
 func (b *Bench) plan(s Size) plan {
-	return plan{size: s, timing: defaultTiming(), seed: b.seed, need: smallNeed, surge: 1, wire: b.wire}
+	return plan{size: s, timing: defaultTiming(), seed: b.seed, need: smallNeed, arrivalFactor: 1, wire: b.wire}
 }
 
-// defaultTiming is what a daemon with default settings gives its controller.
+// defaultTiming returns the timing of a controller in a daemon with default
+// settings.
 func defaultTiming() controller.Timing {
 	const command = 5 * time.Second
 	t := setting.Default().Timing
@@ -143,8 +143,9 @@
 	}
 }
 
-// each runs jobs, some at once, each in a goroutine of its own.
-func (b *Bench) each(jobs ...func() error) error {
+// runParallel runs each job in a goroutine of its own, up to b.parallel of them
+// concurrently, and returns the first error in the order of jobs.
+func (b *Bench) runParallel(jobs ...func() error) error {
 	errs := make([]error, len(jobs))
 	slots := make(chan struct{}, max(b.parallel, 1))
 	var all sync.WaitGroup
--- a/bench/batch/batch_test.go
+++ b/bench/batch/batch_test.go
@@ -13,7 +13,7 @@
 func small() batch.Size {
 	return batch.Size{
 		AvailabilityZones: 2, Instances: 6, Workers: 22, Groups: 4, Services: 4,
-		Replicas: 16, Tasks: 60, Starts: 1, Queued: 200,
+		Replicas: 16, Tasks: 60, StartsPerSecond: 1, Queued: 200,
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// Figures of virtual time follow from the seed alone.
+// The figures taken in virtual time must depend on the seed alone.
 func TestMeasureRepeats(t *testing.T) {
 	is := is.New(t)
 	var figures [2]batch.Figures
@@ -46,8 +46,8 @@
 		is.NoErr(err)
 		figures[i] = f
 	}
-	is.True(figures[0].Starts > 0)
-	is.Equal(figures[0].Starts, figures[1].Starts)
-	is.Equal(figures[0].Appends, figures[1].Appends)
+	is.True(figures[0].StartsPerSecond > 0)
+	is.Equal(figures[0].StartsPerSecond, figures[1].StartsPerSecond)
+	is.Equal(figures[0].AppendsPerSecond, figures[1].AppendsPerSecond)
 	is.Equal(figures[0].Bytes["zone stream, read"], figures[1].Bytes["zone stream, read"])
 }
--- a/bench/batch/configuration.go
+++ b/bench/batch/configuration.go
@@ -8,21 +8,22 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-const forcePatience = time.Minute
+const publicationTimeout = time.Minute
 
-// force publishes an edition at an instance and returns the time until it is
-// in force at all others, the cut ones included. It is negative when that
-// didn't come within the patience or the publication was refused.
-func (c *cluster) force(at *node, edition int, refused *error) time.Duration {
+// publishAndWait publishes an edition at an instance and returns the time until
+// it is in force at all instances, including those that can't reach the log. It
+// is negative if this takes longer than publicationTimeout or the publication
+// was refused.
+func (c *cluster) publishAndWait(publisher *instance, edition int, refused *error) time.Duration {
 	before := c.now
-	target := at.c.Revision() + 1
-	c.publish(at, edition, func(err error) {
+	target := publisher.c.Revision() + 1
+	c.publish(publisher, edition, func(err error) {
 		if err != nil && refused != nil {
 			*refused = err
 		}
 	})
-	done := c.runUntil(forcePatience, func() bool {
-		for _, n := range c.alive {
+	done := c.advanceUntil(publicationTimeout, func() bool {
+		for _, n := range c.live {
 			if n.c.Revision() < target {
 				return false
 			}
@@ -36,7 +37,7 @@
 }
 
 // configuration measures the time until a publication is in force everywhere,
-// with and without instances that are cut from the log.
+// with and without instances that can't reach the log.
 func (b *Bench) configuration(w io.Writer) error {
 	pair := b.size.zones(2)
 	cases := []struct {
@@ -45,9 +46,9 @@
 		cut  func(c *cluster)
 	}{
 		{"all reach the log", b.size.idle(), func(*cluster) {}},
-		{"one instance cut from the log", b.size.idle(), func(c *cluster) { c.cut[c.nodes[7].id] = true }},
-		{"two zones, one instance cut from the log", pair.idle(), func(c *cluster) { c.cut[c.nodes[7].id] = true }},
-		{"the same at the peak", pair, func(c *cluster) { c.cut[c.nodes[7].id] = true }},
+		{"one instance cut from the log", b.size.idle(), func(c *cluster) { c.cutFromLog[c.instances[7].id] = true }},
+		{"two zones, one instance cut from the log", pair.idle(), func(c *cluster) { c.cutFromLog[c.instances[7].id] = true }},
+		{"the same at the peak", pair, func(c *cluster) { c.cutFromLog[c.instances[7].id] = true }},
 		{"two zones, one cut from the log", pair.idle(), func(c *cluster) { c.cutZone(zoneName(1)) }},
 	}
 	rows := make([][]string, len(cases))
@@ -55,37 +56,37 @@
 	for i, k := range cases {
 		jobs = append(jobs, func() error {
 			c := newCluster(b.plan(k.size))
-			if err := c.warm(); err != nil {
+			if err := c.reachSteadyLoad(); err != nil {
 				return err
 			}
 			k.cut(c)
-			rows[i] = append([]string{k.name, fmt.Sprint(k.size.Instances)}, c.forceRow()...)
+			rows[i] = append([]string{k.name, fmt.Sprint(k.size.Instances)}, c.publicationRow()...)
 			return nil
 		})
 	}
-	if err := b.each(jobs...); err != nil {
+	if err := b.runParallel(jobs...); err != nil {
 		return err
 	}
-	title := fmt.Sprintf("Publication in force everywhere, limit %v", forceLimit)
+	title := fmt.Sprintf("Publication in force everywhere, limit %v", publicationLimit)
 	return table(w, title, []string{"case", "instances", "publications", "fastest", "slowest", "not in force within a minute", "refused"}, rows)
 }
 
 func (c *cluster) cutZone(zone string) {
-	for _, n := range c.nodes {
+	for _, n := range c.instances {
 		if n.zone == zone {
-			c.cut[n.id] = true
+			c.cutFromLog[n.id] = true
 		}
 	}
 }
 
-func (c *cluster) forceRow() []string {
+func (c *cluster) publicationRow() []string {
 	const publications = 5
-	var least, most time.Duration
+	var fastest, slowest time.Duration
 	var missing, refused int
 	for i := range publications {
-		c.run(1300 * time.Millisecond)
+		c.advance(1300 * time.Millisecond)
 		var err error
-		d := c.force(c.nodes[0], i+1, &err)
+		d := c.publishAndWait(c.instances[0], i+1, &err)
 		if err != nil && !fault.Is(err, fault.MayHaveRun) {
 			refused++
 		}
@@ -93,10 +94,10 @@
 			missing++
 			continue
 		}
-		if least == 0 || d < least {
-			least = d
+		if fastest == 0 || d < fastest {
+			fastest = d
 		}
-		most = max(most, d)
+		slowest = max(slowest, d)
 	}
-	return []string{fmt.Sprint(publications), seconds(least), seconds(most), fmt.Sprint(missing), fmt.Sprint(refused)}
+	return []string{fmt.Sprint(publications), seconds(fastest), seconds(slowest), fmt.Sprint(missing), fmt.Sprint(refused)}
 }
--- a/bench/batch/driver.go
+++ b/bench/batch/driver.go
@@ -13,8 +13,8 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-// Delays and intervals outside the controller. Those of the adapters are as
-// in package daemon.
+// Delays and intervals outside the controller. Those of the adapters are the
+// same as in package daemon.
 const (
 	tickInterval  = 100 * time.Millisecond
 	listInterval  = time.Second
@@ -25,52 +25,57 @@
 	networkDelay  = 1500 * time.Microsecond
 	callTimeout   = 1500 * time.Millisecond
 	appendTimeout = 3 * time.Second
-	usageInterval = 5 * time.Second // of measurements at a worker
+	usageInterval = 5 * time.Second // between measurements at a worker
 	usageLag      = 2 * time.Second
 )
 
-// cluster joins controllers of all zones to a fake log and to stand-ins of
+// cluster connects the controllers of all zones to a simulated log and stand-in
 // workers, in virtual time and in one goroutine.
 type cluster struct {
-	plan     plan
-	start    time.Time
-	now      time.Time
-	random   *rand.Rand
-	queue    events
-	serial   uint64
-	streams  map[string]*stream
-	down     bool            // the log, for all
-	cut      map[string]bool // instances that can't reach the log
-	nodes    []*node
-	alive    map[string]*node
-	workers  []*backend
-	byID     map[string]*backend
-	listed   []provider.Instance
-	relisted int // times that the list changed
-	listSize int // bytes
-	answers  map[uint64]func(error)
-	asked    uint64
-	sent     map[string]time.Time // submissions by task
-	meter    meter
+	plan            plan
+	start           time.Time
+	now             time.Time
+	random          *rand.Rand
+	queue           events
+	serial          uint64
+	streams         map[string]*stream
+	logDown         bool            // for all instances
+	cutFromLog      map[string]bool // instances that can't reach the log
+	instances       []*instance
+	live            map[string]*instance
+	workers         []*fakeWorker
+	byID            map[string]*fakeWorker
+	listed          []provider.Instance
+	listRevision    int // number of changes of the instance list
+	listSize        int // bytes of the instance list
+	pendingCommands map[uint64]func(error)
+	lastCommandID   uint64
+	submittedAt     map[string]time.Time // by task
+	meter           meter
 }
 
-type node struct {
+// instance is an entry instance: a controller and its connections to the log,
+// the workers and the other instances.
+type instance struct {
 	*cluster
-	c      *controller.Controller
-	id     string
-	zone   string
-	gone   bool
-	booted uint64 // incarnation
-	seen   int    // the list's change that was read last
+	c                *controller.Controller
+	id               string
+	zone             string
+	stopped          bool
+	incarnation      uint64
+	seenListRevision int // revision of the instance list at the last poll
 }
 
-type backend struct {
+// fakeWorker is a stand-in worker. A dead one answers no calls.
+type fakeWorker struct {
 	*worker.Worker
 	zone string
 	rack string
 	dead bool
 }
 
+// event is a function to call at a point in virtual time. The serial number
+// orders events at the same time.
 type event struct {
 	at     time.Time
 	serial uint64
@@ -96,21 +101,21 @@
 	return last
 }
 
-// newCluster returns a cluster without a configuration. It is to be used by
-// the calling goroutine only.
+// newCluster returns a cluster without a configuration. Only the calling
+// goroutine may use it.
 func newCluster(p plan) *cluster {
-	runtime.LockOSThread() // processor time is that of the thread
+	runtime.LockOSThread() // threadTime measures the calling thread
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := &cluster{
 		plan: p, start: start, now: start,
-		random:  rand.New(rand.NewPCG(p.seed, 1)),
-		streams: map[string]*stream{},
-		cut:     map[string]bool{},
-		alive:   map[string]*node{},
-		byID:    map[string]*backend{},
-		answers: map[uint64]func(error){},
-		sent:    map[string]time.Time{},
-		meter:   newMeter(),
+		random:          rand.New(rand.NewPCG(p.seed, 1)),
+		streams:         map[string]*stream{},
+		cutFromLog:      map[string]bool{},
+		live:            map[string]*instance{},
+		byID:            map[string]*fakeWorker{},
+		pendingCommands: map[uint64]func(error){},
+		submittedAt:     map[string]time.Time{},
+		meter:           newMeter(),
 	}
 	for i := range p.size.Workers {
 		c.addWorker(i)
@@ -118,7 +123,7 @@
 	for i := range p.size.Instances {
 		c.boot(fmt.Sprintf("e%02d", i), zoneName(i%p.size.AvailabilityZones))
 	}
-	c.relist()
+	c.rebuildList()
 	return c
 }
 
@@ -130,7 +135,7 @@
 	id := fmt.Sprintf("w%04d", i)
 	zone := i % c.plan.size.AvailabilityZones
 	inZone := i / c.plan.size.AvailabilityZones
-	b := &backend{
+	b := &fakeWorker{
 		Worker: worker.New(id,
 			worker.WithClock(func() time.Time { return c.now }),
 			worker.WithUsage(usageInterval, usageLag),
@@ -142,31 +147,32 @@
 	c.byID[id] = b
 }
 
-// boot starts an instance, also in place of one under the same ID.
-func (c *cluster) boot(id, zone string) *node {
+// boot starts an instance. It replaces a previous one with the same ID.
+func (c *cluster) boot(id, zone string) *instance {
 	self := controller.Self{ID: id, AvailabilityZone: zone, Incarnation: uint64(c.now.UnixMilli()), Address: "10.0.0.1:7000"}
-	n := &node{cluster: c, id: id, zone: zone, booted: self.Incarnation, c: controller.New(self, c.plan.timing)}
-	c.nodes = append(c.nodes, n)
-	c.alive[id] = n
-	phase := time.Duration(len(c.nodes)) * 7 * time.Millisecond % tickInterval
+	n := &instance{cluster: c, id: id, zone: zone, incarnation: self.Incarnation, c: controller.New(self, c.plan.timing)}
+	c.instances = append(c.instances, n)
+	c.live[id] = n
+	phase := time.Duration(len(c.instances)) * 7 * time.Millisecond % tickInterval
 	c.after(phase, n.tick)
 	c.after(phase, n.list)
-	c.after(phase, func() { n.follow(controller.ZoneStream(zone)) })
-	c.after(phase, func() { n.follow(controller.ConfigStream) })
+	c.after(phase, func() { n.followStream(controller.ZoneStream(zone)) })
+	c.after(phase, func() { n.followStream(controller.ConfigStream) })
 	return n
 }
 
-func (c *cluster) kill(n *node) {
-	n.gone = true
-	delete(c.alive, n.id)
+func (c *cluster) kill(n *instance) {
+	n.stopped = true
+	delete(c.live, n.id)
 }
 
-// relist makes the instance list anew. Whatever died is off it at once; the
-// lists that instances hold are older by up to the interval of polls.
-func (c *cluster) relist() {
+// rebuildList rebuilds the instance list from the live instances and workers,
+// so dead ones leave it at once. The copy that an instance holds lags behind by
+// up to listInterval.
+func (c *cluster) rebuildList() {
 	c.listed = nil
-	for _, n := range c.nodes {
-		if !n.gone {
+	for _, n := range c.instances {
+		if !n.stopped {
 			c.listed = append(c.listed, provider.Instance{
 				ID: n.id, Role: provider.RoleEntry, AvailabilityZone: n.zone,
 				Address: "10.0.0.1:7000", Caller: "10.0.0.1:7001", Status: provider.StatusLive,
@@ -178,7 +184,7 @@
 			c.listed = append(c.listed, b.Instance(b.zone, b.rack, "10.0.1.1:7000"))
 		}
 	}
-	c.relisted++
+	c.listRevision++
 	c.listSize = jsonSize(c.listed)
 }
 
@@ -187,8 +193,8 @@
 	heap.Push(&c.queue, event{c.now.Add(d), c.serial, run})
 }
 
-// run moves time on.
-func (c *cluster) run(d time.Duration) {
+// advance runs the events of the next d of virtual time.
+func (c *cluster) advance(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		e := heap.Pop(&c.queue).(event)
@@ -198,90 +204,92 @@
 	c.now = end
 }
 
-// runUntil moves time on until done, and reports whether that came in time.
-func (c *cluster) runUntil(limit time.Duration, done func() bool) bool {
+// advanceUntil advances virtual time until done returns true, and reports
+// whether it did within a limit.
+func (c *cluster) advanceUntil(limit time.Duration, done func() bool) bool {
 	for end := c.now.Add(limit); c.now.Before(end); {
 		if done() {
 			return true
 		}
-		c.run(tickInterval)
+		c.advance(tickInterval)
 	}
 	return done()
 }
 
-func (n *node) tick() {
-	if n.gone {
+func (n *instance) tick() {
+	if n.stopped {
 		return
 	}
 	n.step(controller.Tick{})
 	n.after(tickInterval, n.tick)
 }
 
-func (n *node) list() {
-	if n.gone {
+func (n *instance) list() {
+	if n.stopped {
 		return
 	}
 	n.meter.add(n.id, listBytes, n.plan.wire.list)
-	if n.seen != n.relisted {
-		n.seen = n.relisted
+	if n.seenListRevision != n.listRevision {
+		n.seenListRevision = n.listRevision
 		n.meter.add(n.id, listBytes, n.listSize)
 	}
 	n.step(controller.Listed{Instances: n.listed})
 	n.after(listInterval, n.list)
 }
 
-// follow reads a stream's tail, one page at a time.
-func (n *node) follow(stream string) {
-	if n.gone {
+// followStream reads a stream from the controller's next offset, one page at a
+// time.
+func (n *instance) followStream(stream string) {
+	if n.stopped {
 		return
 	}
 	sent := n.now
 	from := n.c.Next(stream)
 	n.after(logDelay, func() {
-		if n.down || n.cut[n.id] {
-			n.after(appendTimeout, func() { n.taken(stream, sent, provider.Page{}, errLog) })
+		if n.logDown || n.cutFromLog[n.id] {
+			n.after(appendTimeout, func() { n.handlePage(stream, sent, provider.Page{}, errLog) })
 			return
 		}
 		n.stream(stream).read(n.cluster, from, func(page provider.Page) {
-			n.after(logDelay, func() { n.taken(stream, sent, page, nil) })
+			n.after(logDelay, func() { n.handlePage(stream, sent, page, nil) })
 		})
 	})
 }
 
-func (n *node) taken(stream string, sent time.Time, page provider.Page, err error) {
-	if n.gone {
+func (n *instance) handlePage(stream string, sent time.Time, page provider.Page, err error) {
+	if n.stopped {
 		return
 	}
 	n.meter.read(n.id, stream, page, n.plan.wire)
 	n.step(controller.Read{Stream: stream, Sent: sent, Page: page, Err: err})
-	n.after(tailInterval, func() { n.follow(stream) })
+	n.after(tailInterval, func() { n.followStream(stream) })
 }
 
-func (n *node) step(in controller.Input) {
-	if n.gone {
+func (n *instance) step(in controller.Input) {
+	if n.stopped {
 		return
 	}
 	before := threadTime()
 	actions := n.c.Step(n.now, in)
 	n.meter.step(n.id, in, threadTime()-before)
 	for _, a := range actions {
-		n.carryOut(a)
+		n.apply(a)
 	}
 }
 
-func (n *node) carryOut(a controller.Action) {
+func (n *instance) apply(a controller.Action) {
 	switch a := a.(type) {
 	case controller.Append:
 		n.append(a)
 	case controller.Call:
-		n.after(networkDelay, func() { n.arrive(a, n.now.Add(-networkDelay)) })
+		n.after(networkDelay, func() { n.deliverCall(a, n.now.Add(-networkDelay)) })
 	case controller.Poll:
 		n.after(networkDelay, func() { n.poll(n.byID[a.Worker]) })
 	case controller.Send:
 		n.send(a)
 	case controller.Answer:
-		if f, ok := n.answers[a.ID]; ok {
-			delete(n.answers, a.ID)
+		if f, ok := n.pendingCommands[a.ID]; ok {
+			delete(n.pendingCommands, a.ID)
 			f(a.Err)
 		}
 	case controller.Event:
@@ -289,10 +297,10 @@
 	}
 }
 
-func (n *node) append(a controller.Append) {
+func (n *instance) append(a controller.Append) {
 	n.meter.append(n.id, a, n.plan.wire)
 	n.after(logDelay, func() {
-		if n.down || n.cut[n.id] {
+		if n.logDown || n.cutFromLog[n.id] {
 			n.after(appendTimeout, func() { n.step(controller.Appended{Stream: a.Stream, Err: errLog}) })
 			return
 		}
@@ -301,7 +309,7 @@
 	})
 }
 
-func (n *node) arrive(a controller.Call, sent time.Time) {
+func (n *instance) deliverCall(a controller.Call, sent time.Time) {
 	b := n.byID[a.Worker]
 	if b.dead {
 		n.after(callTimeout, func() { n.reply(a, sent, provider.Lease{}, errSilent) })
@@ -312,8 +320,8 @@
 	n.after(networkDelay, func() { n.reply(a, sent, l, err) })
 }
 
-// poll brings an instance a worker's report.
-func (n *node) poll(b *backend) {
+// poll fetches a worker's report for an instance.
+func (n *instance) poll(b *fakeWorker) {
 	if b.dead {
 		return
 	}
@@ -322,7 +330,7 @@
 	n.after(networkDelay, func() { n.step(controller.Reported{Worker: r.Worker, Report: r}) })
 }
 
-func (n *node) reply(a controller.Call, sent time.Time, l provider.Lease, err error) {
+func (n *instance) reply(a controller.Call, sent time.Time, l provider.Lease, err error) {
 	switch a.Verb {
 	case controller.Acquire, controller.Renew, controller.Transfer:
 		n.step(controller.Leased{Worker: a.Worker, Verb: a.Verb, Sent: sent, Lease: l, Err: err})
@@ -335,7 +343,7 @@
 	}
 }
 
-func (b *backend) execute(a controller.Call) (provider.Lease, error) {
+func (b *fakeWorker) execute(a controller.Call) (provider.Lease, error) {
 	switch a.Verb {
 	case controller.Acquire:
 		return b.Acquire(a.Lease)
@@ -354,8 +362,8 @@
 	}
 }
 
-func (n *node) send(a controller.Send) {
-	to, ok := n.alive[a.To]
+func (n *instance) send(a controller.Send) {
+	to, ok := n.live[a.To]
 	if !ok {
 		return
 	}
@@ -367,31 +375,32 @@
 	})
 }
 
-// ask gives an instance a command and calls back with its answer.
-func (n *node) ask(in func(id uint64) controller.Input, answered func(error)) {
-	n.asked++
-	n.answers[n.asked] = answered
-	n.step(in(n.asked))
+// command gives an instance a command and calls answered with its result.
+func (n *instance) command(in func(id uint64) controller.Input, answered func(error)) {
+	n.lastCommandID++
+	n.pendingCommands[n.lastCommandID] = answered
+	n.step(in(n.lastCommandID))
 }
 
-// submit queues tasks at any instance of a zone.
+// submit submits tasks at a random running instance of a zone that can reach
+// the log. Without one, they count as refused.
 func (c *cluster) submit(zone string, tasks []record.Task) {
-	var open []*node
-	for _, n := range c.nodes {
-		if !n.gone && n.zone == zone && !c.cut[n.id] {
-			open = append(open, n)
+	var candidates []*instance
+	for _, n := range c.instances {
+		if !n.stopped && n.zone == zone && !c.cutFromLog[n.id] {
+			candidates = append(candidates, n)
 		}
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		c.meter.refused += len(tasks)
 		return
 	}
 	for _, t := range tasks {
-		c.sent[t.ID] = c.now
+		c.submittedAt[t.ID] = c.now
 	}
 	c.meter.submitted += len(tasks)
-	n := open[c.random.IntN(len(open))]
-	n.ask(func(id uint64) controller.Input { return controller.Submit{ID: id, Tasks: tasks} }, func(err error) {
+	n := candidates[c.random.IntN(len(candidates))]
+	n.command(func(id uint64) controller.Input { return controller.Submit{ID: id, Tasks: tasks} }, func(err error) {
 		if err != nil {
 			c.meter.refused += len(tasks)
 		}
--- a/bench/batch/fake.go
+++ b/bench/batch/fake.go
@@ -15,14 +15,16 @@
 	errSilent = fault.New(fault.MayHaveRun, "no answer")
 )
 
-// stream is one stream of the fake log. Reads wait for the next record.
+// stream is one stream of the simulated log. A read at its end waits for the
+// next record.
 type stream struct {
-	name    string
-	entries []provider.Entry
-	waiting []*waiter
+	name         string
+	entries      []provider.Entry
+	pendingReads []*pendingRead
 }
 
-type waiter struct {
+// pendingRead is a read that waits for the next record.
+type pendingRead struct {
 	from   uint64
 	answer func(provider.Page)
 	done   bool
@@ -42,24 +44,24 @@
 	for _, data := range records {
 		s.entries = append(s.entries, provider.Entry{Offset: uint64(len(s.entries)), Time: c.now, Data: data})
 	}
-	waiting := s.waiting
-	s.waiting = nil
+	waiting := s.pendingReads
+	s.pendingReads = nil
 	for _, w := range waiting {
 		s.answer(w)
 	}
 }
 
 func (s *stream) read(c *cluster, from uint64, answer func(provider.Page)) {
-	w := &waiter{from: from, answer: answer}
+	w := &pendingRead{from: from, answer: answer}
 	if from < uint64(len(s.entries)) {
 		s.answer(w)
 		return
 	}
-	s.waiting = append(s.waiting, w)
+	s.pendingReads = append(s.pendingReads, w)
 	c.after(readWait, func() { s.answer(w) })
 }
 
-func (s *stream) answer(w *waiter) {
+func (s *stream) answer(w *pendingRead) {
 	if w.done {
 		return
 	}
@@ -68,8 +70,8 @@
 	w.answer(provider.Page{Next: uint64(len(s.entries)), Entries: s.entries[w.from:last:last]})
 }
 
-// window returns the entries of a stream accepted within [from, to).
-func (s *stream) window(from, to time.Time) []provider.Entry {
+// entriesBetween returns the entries that were accepted within [from, to).
+func (s *stream) entriesBetween(from, to time.Time) []provider.Entry {
 	var found []provider.Entry
 	for _, e := range s.entries {
 		if !e.Time.Before(from) && e.Time.Before(to) {
--- a/bench/batch/fold.go
+++ b/bench/batch/fold.go
@@ -11,15 +11,16 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// fold measures the fold by itself on the records of a zone at the peak.
+// fold measures how fast the records of a zone at its peak are applied to its
+// state, and the size of the state and its snapshot.
 func (b *Bench) fold(w io.Writer) error {
 	var entries []entry
-	err := b.each(func() error {
+	err := b.runParallel(func() error {
 		c := newCluster(b.plan(b.size.zones(1)))
-		if err := c.warm(); err != nil {
+		if err := c.reachSteadyLoad(); err != nil {
 			return err
 		}
-		c.run(b.window)
+		c.advance(b.window)
 		for _, e := range c.stream(controller.ZoneStream(zoneName(0))).entries {
 			entries = append(entries, entry{e.Offset, e.Time, e.Data})
 		}
@@ -32,6 +33,7 @@
 	return table(w, "Fold of one zone's records", []string{"records", "bytes", "records/s with decoding", "records/s without", "tasks known", "heap bytes of the state", "snapshot bytes", "snapshot encoded in", "restored in"}, rows)
 }
 
+// entry is an encoded record of a stream.
 type entry struct {
 	offset uint64
 	at     time.Time
@@ -46,11 +48,11 @@
 		size += len(e.data)
 		r, err := record.Decode(e.data)
 		if err != nil {
-			panic(err) // this program wrote it
+			panic(err) // the records were encoded by this program
 		}
 		records[i] = r
 	}
-	decoding := timeOf(rounds, func() {
+	decoding := minThreadTime(rounds, func() {
 		s := zone.New(zoneName(0))
 		for _, e := range entries {
 			r, _ := record.Decode(e.data)
@@ -59,19 +61,19 @@
 	})
 	var state *zone.State
 	before := heapSize()
-	plain := timeOf(rounds, func() {
+	applying := minThreadTime(rounds, func() {
 		state = zone.New(zoneName(0))
 		for i, e := range entries {
 			state.Apply(e.offset, e.at, records[i])
 		}
 	})
-	held := heapSize() - before
+	heapBytes := heapSize() - before
 	snapshot, err := state.Snapshot()
 	if err != nil {
-		panic(err) // the default settings rule that out
+		panic(err) // the default settings keep a snapshot within the size of a record
 	}
-	encoded := timeOf(rounds, func() { _, _ = state.Snapshot() })
-	restored := timeOf(rounds, func() { _, _ = zone.Restore(snapshot) })
+	encoded := minThreadTime(rounds, func() { _, _ = state.Snapshot() })
+	restored := minThreadTime(rounds, func() { _, _ = zone.Restore(snapshot) })
 	runtime.KeepAlive(entries)
 	runtime.KeepAlive(records)
 	runtime.KeepAlive(state)
@@ -81,13 +83,13 @@
 	}
 	n := float64(len(entries))
 	return []string{
-		fmt.Sprint(len(entries)), fmt.Sprint(size), number(n / decoding.Seconds()), number(n / plain.Seconds()),
-		fmt.Sprint(tasks), fmt.Sprint(held), fmt.Sprint(len(snapshot)), encoded.Round(10 * time.Microsecond).String(), restored.Round(10 * time.Microsecond).String(),
+		fmt.Sprint(len(entries)), fmt.Sprint(size), number(n / decoding.Seconds()), number(n / applying.Seconds()),
+		fmt.Sprint(tasks), fmt.Sprint(heapBytes), fmt.Sprint(len(snapshot)), encoded.Round(10 * time.Microsecond).String(), restored.Round(10 * time.Microsecond).String(),
 	}
 }
 
-// timeOf returns the least processor time of one of several rounds.
-func timeOf(rounds int, f func()) time.Duration {
+// minThreadTime returns the least processor time of f over several rounds.
+func minThreadTime(rounds int, f func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var least time.Duration
--- a/bench/batch/load.go
+++ b/bench/batch/load.go
@@ -12,8 +12,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Size is what a site holds and how busy it is. A task runs for Tasks/Starts
-// on average, so that as many end as start.
+// Size is the size and load of a site. A task runs for Tasks/StartsPerSecond
+// seconds on average, so that as many tasks end as start.
 type Size struct {
 	AvailabilityZones int
 	Instances         int
@@ -22,20 +22,20 @@
 	Services          int
 	Replicas          int     // of all services, in all zones
 	Tasks             int     // running
-	Starts            float64 // of tasks a second
-	Queued            int     // tasks that wait because they are above their group's share
+	StartsPerSecond   float64 // of tasks
+	Queued            int     // tasks that wait because their group is at its share
 }
 
-// Planned is the size to design for, with the starts of its peak. A service
-// runs in every zone.
+// Planned returns the size that the system is designed for, with the start rate
+// of its peak. Each service runs in every zone.
 func Planned() Size {
 	return Size{
 		AvailabilityZones: 5, Instances: 40, Workers: 1100, Groups: 40, Services: 50,
-		Replicas: 2500, Tasks: 8300, Starts: 71,
+		Replicas: 2500, Tasks: 8300, StartsPerSecond: 71,
 	}
 }
 
-// zones returns the part of the size that falls on n zones.
+// zones returns the size of n zones of the site.
 func (s Size) zones(n int) Size {
 	all := s.AvailabilityZones
 	s.AvailabilityZones = n
@@ -43,7 +43,7 @@
 	s.Workers = s.Workers * n / all
 	s.Replicas = s.Replicas * n / all
 	s.Tasks = s.Tasks * n / all
-	s.Starts = s.Starts * float64(n) / float64(all)
+	s.StartsPerSecond = s.StartsPerSecond * float64(n) / float64(all)
 	s.Queued = s.Queued * n / all
 	return s
 }
@@ -51,40 +51,40 @@
 // idle returns the size without batch work.
 func (s Size) idle() Size {
 	s.Tasks = 0
-	s.Starts = 0
+	s.StartsPerSecond = 0
 	return s
 }
 
 const (
 	workersPerRack = 11
-	urgentPart     = 0.1
-	jobTasks       = 20 // of a job that isn't urgent
+	urgentShare    = 0.1
+	jobTasks       = 20 // per job that isn't urgent
 	commandBytes   = 64
 	urgentPrefix   = "urgent-"
 )
 
 var workerCapacity = resource.Vector{Processors: 64_000, Memory: 250 << 10}
 
-// plan is one run: a size, its timing and its load.
+// plan holds the parameters of one run.
 type plan struct {
-	size   Size
-	timing controller.Timing
-	seed   uint64
-	need   resource.Vector // of a task
-	surge  float64         // of arrivals, over the starts of the size
-	wire   wireSizes
+	size          Size
+	timing        controller.Timing
+	seed          uint64
+	need          resource.Vector // per task
+	arrivalFactor float64         // ratio of arrivals to the starts of the size
+	wire          wireSizes
 
-	urgentGroups int // the last groups submit urgent tasks only, and the others none, unless zero
+	urgentGroups int // unless zero, this many of the last groups submit only urgent tasks, and the others none
 }
 
-// duration returns how long the next task runs: half to one and a half times
-// the mean.
-func (c *cluster) duration() time.Duration {
-	mean := float64(c.plan.size.Tasks) / c.plan.size.Starts
+// randomDuration draws the run time of a task: half to one and a half times the
+// mean.
+func (c *cluster) randomDuration() time.Duration {
+	mean := float64(c.plan.size.Tasks) / c.plan.size.StartsPerSecond
 	return time.Duration((0.5 + c.random.Float64()) * mean * float64(time.Second)).Round(time.Millisecond)
 }
 
-func (c *cluster) task(id, job string, group int, urgent bool, d time.Duration) record.Task {
+func (c *cluster) newTask(id, job string, group int, urgent bool, d time.Duration) record.Task {
 	return record.Task{
 		ID: id, Job: job, Group: groupName(group), Need: c.plan.need, Urgent: urgent, Duration: d,
 		Command: fmt.Sprintf("%-*s", commandBytes, "sleep "+d.String()),
@@ -95,8 +95,9 @@
 	return fmt.Sprintf("group-%02d", i)
 }
 
-// job queues a number of tasks of one group.
-func (c *cluster) job(zone string, n int, urgent, residual bool) {
+// submitJob submits a job of n tasks of one group. Residual tasks have only a
+// random rest of their run time left.
+func (c *cluster) submitJob(zone string, n int, urgent, residual bool) {
 	c.serial++
 	group := c.groupFor(urgent)
 	job := fmt.Sprintf("job-%d", c.serial)
@@ -105,11 +106,11 @@
 	}
 	tasks := make([]record.Task, n)
 	for i := range tasks {
-		d := c.duration()
+		d := c.randomDuration()
 		if residual {
 			d = time.Duration(c.random.Float64() * float64(d)).Round(time.Millisecond)
 		}
-		tasks[i] = c.task(fmt.Sprintf("%s-%d", job, i), job, group, urgent, d)
+		tasks[i] = c.newTask(fmt.Sprintf("%s-%d", job, i), job, group, urgent, d)
 	}
 	c.submit(zone, tasks)
 }
@@ -119,58 +120,60 @@
 	if c.plan.size.Queued > 0 {
 		all--
 	}
-	special := c.plan.urgentGroups
+	urgentGroups := c.plan.urgentGroups
 	switch {
-	case special == 0:
+	case urgentGroups == 0:
 		return c.random.IntN(all)
 	case urgent:
-		return all - 1 - c.random.IntN(special)
+		return all - 1 - c.random.IntN(urgentGroups)
 	default:
-		return c.random.IntN(all - special)
+		return c.random.IntN(all - urgentGroups)
 	}
 }
 
-// fill queues as many tasks in a zone as run on average.
-func (c *cluster) fill(zone string) {
-	left := c.plan.size.Tasks / c.plan.size.AvailabilityZones
-	for left > 0 {
-		n := min(left, 10)
-		c.job(zone, n, false, true)
-		left -= n
+// queueInitialTasks submits as many tasks to a zone as run there on average.
+func (c *cluster) queueInitialTasks(zone string) {
+	remaining := c.plan.size.Tasks / c.plan.size.AvailabilityZones
+	for remaining > 0 {
+		n := min(remaining, 10)
+		c.submitJob(zone, n, false, true)
+		remaining -= n
 	}
 }
 
-// stall queues tasks of the last group, which nobody else submits to then:
-// its share holds a few of them, which run on and on, and the others wait.
-func (c *cluster) stall(zone string) {
+// queueOverShareTasks submits plan.size.Queued tasks of the last group, which
+// has no other tasks then. A few of them fill its share for the whole run, and
+// the others wait.
+func (c *cluster) queueOverShareTasks(zone string) {
 	const batch = 100
-	left := c.plan.size.Queued / c.plan.size.AvailabilityZones
-	for ; left > 0; left -= batch {
-		tasks := make([]record.Task, min(left, batch))
+	remaining := c.plan.size.Queued / c.plan.size.AvailabilityZones
+	for ; remaining > 0; remaining -= batch {
+		tasks := make([]record.Task, min(remaining, batch))
 		for i := range tasks {
 			c.serial++
-			tasks[i] = c.task(fmt.Sprintf("stalled-%d", c.serial), "", c.plan.size.Groups-1, false, time.Hour)
+			tasks[i] = c.newTask(fmt.Sprintf("stalled-%d", c.serial), "", c.plan.size.Groups-1, false, time.Hour)
 			tasks[i].Need = hugeNeed
 		}
 		c.submit(zone, tasks)
 	}
 }
 
-// arrive submits work to a zone from now on, at a rate of tasks a second.
-func (c *cluster) arrive(zone string, rate float64) {
-	c.arrivals(rate*urgentPart, func() { c.job(zone, 1, true, false) })
-	c.arrivals(rate*(1-urgentPart)/jobTasks, func() { c.job(zone, jobTasks, false, false) })
+// startArrivals submits urgent tasks and jobs to a zone from now on, at a rate
+// in tasks per second.
+func (c *cluster) startArrivals(zone string, rate float64) {
+	c.scheduleArrivals(rate*urgentShare, func() { c.submitJob(zone, 1, true, false) })
+	c.scheduleArrivals(rate*(1-urgentShare)/jobTasks, func() { c.submitJob(zone, jobTasks, false, false) })
 }
 
-// arrivals calls arrive at random times with a mean rate.
-func (c *cluster) arrivals(rate float64, arrive func()) {
+// scheduleArrivals calls arrive at random times with a mean rate per second.
+func (c *cluster) scheduleArrivals(rate float64, arrive func()) {
 	if rate <= 0 {
 		return
 	}
 	wait := time.Duration(-math.Log(1-c.random.Float64()) / rate * float64(time.Second))
 	c.after(wait, func() {
 		arrive()
-		c.arrivals(rate, arrive)
+		c.scheduleArrivals(rate, arrive)
 	})
 }
 
@@ -199,7 +202,7 @@
 
 type serviceLine struct{ Name, Group string }
 
-// manifest returns a whole desired state, different for each edition.
+// manifestOf returns a complete manifest, which differs between editions.
 func manifestOf(s Size, edition int, jobs int) []byte {
 	perZone := s.Workers / s.AvailabilityZones
 	data := struct {
@@ -237,34 +240,36 @@
 	return b.Bytes()
 }
 
-// publish applies the next configuration at an instance and calls back once
-// it is answered.
-func (c *cluster) publish(n *node, edition int, answered func(error)) {
+// publish applies an edition of the manifest at an instance and calls answered
+// with the result.
+func (c *cluster) publish(n *instance, edition int, answered func(error)) {
 	text := manifestOf(c.plan.size, edition, 0)
-	n.ask(func(id uint64) controller.Input {
+	n.command(func(id uint64) controller.Input {
 		return controller.Apply{ID: id, Base: n.c.Revision(), Author: "ops", Manifest: text}
 	}, answered)
 }
 
-// prepare publishes the first configuration and waits until replicas run.
-func (c *cluster) prepare() error {
-	c.run(4 * time.Second)
+// publishInitial publishes the first configuration and waits until the replicas
+// run.
+func (c *cluster) publishInitial() error {
+	c.advance(4 * time.Second)
 	var failed error
-	c.publish(c.nodes[0], 0, func(err error) { failed = err })
-	c.run(12 * time.Second)
+	c.publish(c.instances[0], 0, func(err error) { failed = err })
+	c.advance(12 * time.Second)
 	return failed
 }
 
-// warm brings a cluster to its steady load.
-func (c *cluster) warm() error {
-	if err := c.prepare(); err != nil {
+// reachSteadyLoad publishes the configuration, submits the load of the plan and
+// runs the cluster until the load is steady.
+func (c *cluster) reachSteadyLoad() error {
+	if err := c.publishInitial(); err != nil {
 		return err
 	}
 	for i := range c.plan.size.AvailabilityZones {
-		c.stall(zoneName(i))
-		c.fill(zoneName(i))
-		c.arrive(zoneName(i), c.plan.surge*c.plan.size.Starts/float64(c.plan.size.AvailabilityZones))
+		c.queueOverShareTasks(zoneName(i))
+		c.queueInitialTasks(zoneName(i))
+		c.startArrivals(zoneName(i), c.plan.arrivalFactor*c.plan.size.StartsPerSecond/float64(c.plan.size.AvailabilityZones))
 	}
-	c.run(45 * time.Second)
+	c.advance(45 * time.Second)
 	return nil
 }
--- a/bench/batch/meter.go
+++ b/bench/batch/meter.go
@@ -12,10 +12,10 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// traffic is a kind of control bytes.
+// traffic is a kind of control traffic.
 type traffic int
 
-// Kinds of control bytes of an instance, both directions together.
+// Kinds of control traffic of an instance, both directions together.
 const (
 	zoneRead traffic = iota
 	zoneWrite
@@ -23,30 +23,30 @@
 	snapshotWrite
 	configRead
 	configWrite
-	beatBytes
+	heartbeatBytes
 	leaseBytes // renewals and other calls about leases
 	callBytes  // starts, stops and acknowledgements
 	reportBytes
 	listBytes
-	traffics
+	trafficKinds
 )
 
-var trafficNames = [traffics]string{
+var trafficNames = [trafficKinds]string{
 	"zone stream, read", "zone stream, written", "snapshots, read", "snapshots, written",
 	"configuration, read", "configuration, written", "heartbeats", "worker leases", "task calls", "worker reports", "instance list",
 }
 
-// snapshotLeast tells a snapshot record from others by its size.
-const snapshotLeast = 64 << 10
+// minSnapshotBytes is the size above which a record counts as a snapshot.
+const minSnapshotBytes = 64 << 10
 
-// usage is what one instance spent.
+// usage is the traffic and processor time of one instance.
 type usage struct {
-	bytes [traffics]int64
-	time  time.Duration // of Step
-	most  time.Duration // of one Step
+	bytes       [trafficKinds]int64
+	stepTime    time.Duration // total of Step
+	longestStep time.Duration
 }
 
-// meter counts from its last reset.
+// meter holds counts and times since its last reset.
 type meter struct {
 	usage     map[string]*usage
 	steps     map[string]int // by kind of input
@@ -73,7 +73,7 @@
 	*m = newMeter()
 }
 
-func (m *meter) of(id string) *usage {
+func (m *meter) usageOf(id string) *usage {
 	u, ok := m.usage[id]
 	if !ok {
 		u = &usage{}
@@ -83,13 +83,13 @@
 }
 
 func (m *meter) add(id string, kind traffic, n int) {
-	m.of(id).bytes[kind] += int64(n)
+	m.usageOf(id).bytes[kind] += int64(n)
 }
 
 func (m *meter) step(id string, in controller.Input, d time.Duration) {
-	u := m.of(id)
-	u.time += d
-	u.most = max(u.most, d)
+	u := m.usageOf(id)
+	u.stepTime += d
+	u.longestStep = max(u.longestStep, d)
 	kind := kindOf(in)
 	m.steps[kind]++
 	m.times[kind] += d
@@ -114,7 +114,7 @@
 	m.add(id, zoneRead, w.read)
 	for _, e := range page.Entries {
 		kind := zoneRead
-		if len(e.Data) > snapshotLeast {
+		if len(e.Data) > minSnapshotBytes {
 			kind = snapshotRead
 		}
 		m.add(id, kind, len(e.Data)+w.entry)
@@ -130,7 +130,7 @@
 	switch {
 	case a.Stream == controller.ConfigStream:
 		kind = configWrite
-	case len(body) > snapshotLeast:
+	case len(body) > minSnapshotBytes:
 		kind = snapshotWrite
 	}
 	m.add(id, kind, len(body)+w.append)
@@ -153,12 +153,12 @@
 }
 
 func (m *meter) sent(from, to string, sent message.Message, w wireSizes) {
-	n := w.beat
+	n := w.heartbeat
 	if c, ok := sent.(message.Config); ok {
 		n = len(c.Manifest)
 	}
-	m.add(from, beatBytes, n)
-	m.add(to, beatBytes, n)
+	m.add(from, heartbeatBytes, n)
+	m.add(to, heartbeatBytes, n)
 }
 
 func (m *meter) event(e controller.Event) {
@@ -167,8 +167,8 @@
 	}
 }
 
-// threadTime returns the processor time of the calling thread, which doesn't
-// grow while other processes have the processor.
+// threadTime returns the processor time of the calling thread. Unlike wall
+// time, it doesn't include time in which other processes run.
 func threadTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_THREAD, &u); err != nil {
--- a/bench/batch/outage.go
+++ b/bench/batch/outage.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// outages measures the batch work lost while the log is down, in one zone.
+// outages measures the batch work that is lost while the log is down, in one
+// zone.
 func (b *Bench) outages(w io.Writer) error {
 	variants := []variant{
 		{"room to spare", func(*plan) {}},
-		{"full zone, 1.1 times the arrivals", func(p *plan) { p.need = wideNeed; p.surge = 1.1 }},
+		{"full zone, 1.1 times the arrivals", func(p *plan) { p.need = wideNeed; p.arrivalFactor = 1.1 }},
 	}
 	rows := make([][]string, len(variants))
 	var jobs []func() error
 	for i, v := range variants {
 		jobs = append(jobs, func() error {
 			p := b.plan(b.size.zones(1))
-			v.change(&p)
+			v.adjust(&p)
 			row, err := b.outageRow(p)
 			rows[i] = append([]string{v.name}, row...)
 			return err
 		})
 	}
-	if err := b.each(jobs...); err != nil {
+	if err := b.runParallel(jobs...); err != nil {
 		return err
 	}
 	header := []string{"load", "queued at its start", "done/s before", "done/s, first minute", "done/s, second", "done/s, third", "done/s, rest", "lost of the outage's work", "running at its end", "starts again after", "running as before after", "refused of submitted", "ran in two places"}
@@ -32,23 +33,23 @@
 
 func (b *Bench) outageRow(p plan) ([]string, error) {
 	c := newCluster(p)
-	if err := c.warm(); err != nil {
+	if err := c.reachSteadyLoad(); err != nil {
 		return nil, err
 	}
-	c.run(time.Minute)
+	c.advance(time.Minute)
 	at := c.now
 	c.meter.reset()
 	queued := 0
-	for _, g := range c.nodes[0].c.State().Groups() {
+	for _, g := range c.instances[0].c.State().Groups() {
 		queued += g.Queued
 	}
-	c.down = true
-	c.run(b.outage)
-	c.down = false
+	c.logDown = true
+	c.advance(b.outage)
+	c.logDown = false
 	up := c.now
-	c.run(3 * time.Minute)
-	runs, overlaps := c.runs()
-	rate := func(from, to time.Time) float64 { return float64(doneIn(runs, from, to)) / to.Sub(from).Seconds() }
+	c.advance(3 * time.Minute)
+	runs, overlaps := c.taskRuns()
+	rate := func(from, to time.Time) float64 { return float64(countDone(runs, from, to)) / to.Sub(from).Seconds() }
 	before := rate(at.Add(-time.Minute), at)
 	minute := func(i time.Duration) string { return number(rate(at.Add(i*time.Minute), at.Add((i+1)*time.Minute))) }
 	lost := 1 - rate(at, up)/before
@@ -59,16 +60,16 @@
 			break
 		}
 	}
-	asBefore := "not within 3 min"
+	recovered := "not within 3 min"
 	for t := up; t.Before(c.now); t = t.Add(time.Second) {
-		if runningAt(runs, t)*100 >= runningAt(runs, at)*95 {
-			asBefore = seconds(t.Sub(up))
+		if countRunning(runs, t)*100 >= countRunning(runs, at)*95 {
+			recovered = seconds(t.Sub(up))
 			break
 		}
 	}
 	return []string{
 		fmt.Sprint(queued), number(before), minute(0), minute(1), minute(2), number(rate(at.Add(3*time.Minute), up)),
-		fmt.Sprintf("%.0f%%", 100*lost), fmt.Sprint(runningAt(runs, up)), seconds(resumed), asBefore,
+		fmt.Sprintf("%.0f%%", 100*lost), fmt.Sprint(countRunning(runs, up)), seconds(resumed), recovered,
 		fmt.Sprintf("%d of %d", c.meter.refused, c.meter.submitted), fmt.Sprint(overlaps),
 	}, nil
 }
--- a/bench/batch/recovery.go
+++ b/bench/batch/recovery.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	settled         = 170 * time.Second // watched after a failure
-	fastReplacement = 30 * time.Second  // until the platform has replaced a dead zone's instances
+	recoveryWindow  = 170 * time.Second // observed after a failure
+	fastReplacement = 30 * time.Second  // until the platform has replaced the instances of a dead zone
 	slowReplacement = 90 * time.Second
 )
 
-// recovery measures what follows a death, in one zone of the site.
+// recovery measures the recovery from failures of instances and workers, in one
+// zone of the site.
 func (b *Bench) recovery(w io.Writer) error {
 	cases := []struct {
 		name string
-		fail func(*cluster) []*backend // returns the workers concerned
+		fail func(*cluster) []*fakeWorker // returns the affected workers
 	}{
 		{"one owner dies", (*cluster).killOwner},
 		{"one owner dies, and is back under its ID after 10 s", (*cluster).restartOwner},
 		{"a rack of workers dies", (*cluster).killRack},
-		{"all instances of a zone die, new ones come after 30 s", func(c *cluster) []*backend { return c.killZone(fastReplacement) }},
-		{"all instances of a zone die, new ones come after 90 s", func(c *cluster) []*backend { return c.killZone(slowReplacement) }},
+		{"all instances of a zone die, new ones come after 30 s", func(c *cluster) []*fakeWorker { return c.killZone(fastReplacement) }},
+		{"all instances of a zone die, new ones come after 90 s", func(c *cluster) []*fakeWorker { return c.killZone(slowReplacement) }},
 	}
 	rows := make([][]string, len(cases))
 	var jobs []func() error
 	for i, k := range cases {
 		jobs = append(jobs, func() error {
 			c := newCluster(b.plan(b.size.zones(1)))
-			if err := c.warm(); err != nil {
+			if err := c.reachSteadyLoad(); err != nil {
 				return err
 			}
-			c.run(time.Minute)
+			c.advance(time.Minute)
 			c.meter.reset()
 			at := c.now
 			row := c.recoveryRow(k.fail, at)
@@ -43,7 +44,7 @@
 			return nil
 		})
 	}
-	if err := b.each(jobs...); err != nil {
+	if err := b.runParallel(jobs...); err != nil {
 		return err
 	}
 	header := []string{"failure", "workers concerned", "tasks on them", "all owned again after", "escrow settled after",
@@ -51,53 +52,53 @@
 	return table(w, "Recovery, one zone at the peak", header, rows)
 }
 
-func (c *cluster) killOwner() []*backend {
-	n := c.nodes[3]
+func (c *cluster) killOwner() []*fakeWorker {
+	n := c.instances[3]
 	c.kill(n)
-	c.relist()
+	c.rebuildList()
 	return c.ownedBy(n.id)
 }
 
-func (c *cluster) restartOwner() []*backend {
-	n := c.nodes[3]
+func (c *cluster) restartOwner() []*fakeWorker {
+	n := c.instances[3]
 	c.kill(n)
 	c.after(10*time.Second, func() {
 		c.boot(n.id, n.zone)
-		c.relist()
+		c.rebuildList()
 	})
 	return c.ownedBy(n.id)
 }
 
-func (c *cluster) killRack() []*backend {
-	var dead []*backend
+func (c *cluster) killRack() []*fakeWorker {
+	var dead []*fakeWorker
 	for _, b := range c.workers {
 		if b.rack == "r03" {
 			b.dead = true
 			dead = append(dead, b)
 		}
 	}
-	c.relist()
+	c.rebuildList()
 	return dead
 }
 
-func (c *cluster) killZone(replacement time.Duration) []*backend {
-	count := len(c.nodes)
-	for _, n := range slices.Clone(c.nodes) {
+func (c *cluster) killZone(replacement time.Duration) []*fakeWorker {
+	count := len(c.instances)
+	for _, n := range slices.Clone(c.instances) {
 		c.kill(n)
 	}
 	c.after(replacement, func() {
 		for i := range count {
 			c.boot(fmt.Sprintf("f%02d", i), zoneName(0))
 		}
-		c.relist()
+		c.rebuildList()
 	})
-	c.relist()
+	c.rebuildList()
 	return c.workers
 }
 
-func (c *cluster) ownedBy(id string) []*backend {
-	var found []*backend
-	for w := range c.nodes[0].c.State().Workers() {
+func (c *cluster) ownedBy(id string) []*fakeWorker {
+	var found []*fakeWorker
+	for w := range c.instances[0].c.State().Workers() {
 		if w.Owner == id {
 			found = append(found, c.byID[w.ID])
 		}
@@ -105,49 +106,49 @@
 	return found
 }
 
-// witness returns an instance in service that follows the stream.
-func (c *cluster) witness() *node {
-	for _, n := range c.nodes {
-		if !n.gone && n.c.State() != nil {
+// follower returns a running instance that has a state of the zone, or nil.
+func (c *cluster) follower() *instance {
+	for _, n := range c.instances {
+		if !n.stopped && n.c.State() != nil {
 			return n
 		}
 	}
 	return nil
 }
 
-func (c *cluster) recoveryRow(fail func(*cluster) []*backend, at time.Time) []string {
-	concerned := fail(c)
-	hit := map[string]bool{}
-	for _, b := range concerned {
-		hit[b.Instance("", "", "").ID] = true
+func (c *cluster) recoveryRow(fail func(*cluster) []*fakeWorker, at time.Time) []string {
+	affected := fail(c)
+	affectedIDs := map[string]bool{}
+	for _, b := range affected {
+		affectedIDs[b.Instance("", "", "").ID] = true
 	}
-	var owned, recovered time.Duration
-	for c.now.Before(at.Add(settled)) {
-		c.run(tickInterval)
-		o, s := c.recovered(hit)
+	var owned, settled time.Duration
+	for c.now.Before(at.Add(recoveryWindow)) {
+		c.advance(tickInterval)
+		o, s := c.recoveryState(affectedIDs)
 		if !o {
 			owned = 0
 		} else if owned == 0 {
 			owned = c.now.Sub(at)
 		}
 		if !s {
-			recovered = 0
-		} else if recovered == 0 {
-			recovered = c.now.Sub(at)
+			settled = 0
+		} else if settled == 0 {
+			settled = c.now.Sub(at)
 		}
 	}
-	runs, overlaps := c.runs()
-	before, ended, again, last := c.interrupted(runs, hit, at)
-	left := onLive(runs, c)
-	fewest := runningAt(runs, at)
+	runs, overlaps := c.taskRuns()
+	before, ended, restarted, last := c.interruptedRuns(runs, affectedIDs, at)
+	liveRuns := runsOnLiveWorkers(runs, c)
+	fewest := countRunning(runs, at)
 	for t := at; t.Before(c.now); t = t.Add(time.Second) {
-		fewest = min(fewest, runningAt(left, t))
+		fewest = min(fewest, countRunning(liveRuns, t))
 	}
 	return []string{
-		fmt.Sprint(len(concerned)), fmt.Sprint(before), after(owned), after(recovered),
-		fmt.Sprint(ended), fmt.Sprint(again), after(last),
-		fmt.Sprint(startedIn(runs, at.Add(-time.Minute), at)), fmt.Sprint(startedIn(runs, at, at.Add(time.Minute))),
-		fmt.Sprint(runningAt(runs, at)), fmt.Sprint(fewest), fmt.Sprint(c.meter.refused), fmt.Sprint(overlaps), c.eventText(),
+		fmt.Sprint(len(affected)), fmt.Sprint(before), after(owned), after(settled),
+		fmt.Sprint(ended), fmt.Sprint(restarted), after(last),
+		fmt.Sprint(countStarted(runs, at.Add(-time.Minute), at)), fmt.Sprint(countStarted(runs, at, at.Add(time.Minute))),
+		fmt.Sprint(countRunning(runs, at)), fmt.Sprint(fewest), fmt.Sprint(c.meter.refused), fmt.Sprint(overlaps), c.eventText(),
 	}
 }
 
@@ -161,27 +162,27 @@
 
 func after(d time.Duration) string {
 	if d == 0 {
-		return "none or not within " + settled.String()
+		return "none or not within " + recoveryWindow.String()
 	}
 	return seconds(d)
 }
 
-// recovered reports whether all live workers concerned have an owner in
-// service on record, and whether no escrow is left to recover.
-func (c *cluster) recovered(hit map[string]bool) (owned, settled bool) {
-	n := c.witness()
+// recoveryState reports whether every live affected worker has a running owner
+// on record, and whether there is also no escrow left to recover.
+func (c *cluster) recoveryState(affectedIDs map[string]bool) (owned, settled bool) {
+	n := c.follower()
 	if n == nil {
 		return false, false
 	}
 	s := n.c.State()
 	owned = true
-	for id := range hit {
+	for id := range affectedIDs {
 		if c.byID[id].dead {
 			continue
 		}
 		w, ok := s.Worker(id)
-		live := c.alive[w.Owner]
-		if !ok || live == nil || !live.owns(w.Incarnation) {
+		live := c.live[w.Owner]
+		if !ok || live == nil || !live.isCurrent(w.Incarnation) {
 			owned = false
 		}
 	}
@@ -190,22 +191,23 @@
 		settled = false
 	}
 	for w := range s.Owners() {
-		if live := c.alive[w.ID]; live == nil || !live.owns(w.Incarnation) {
+		if live := c.live[w.ID]; live == nil || !live.isCurrent(w.Incarnation) {
 			settled = false
 		}
 	}
 	return owned, settled
 }
 
-// owns reports whether an incarnation is that of the run in service.
-func (n *node) owns(incarnation uint64) bool {
-	return incarnation >= n.booted
+// isCurrent reports whether an incarnation is not older than that of the
+// running process.
+func (n *instance) isCurrent(incarnation uint64) bool {
+	return incarnation >= n.incarnation
 }
 
-// interrupted returns how many tasks ran on the workers concerned, how many
-// of those runs ended without being done, how many of these started again
-// and when the last did.
-func (c *cluster) interrupted(runs []run, hit map[string]bool, at time.Time) (before, ended, again int, last time.Duration) {
+// interruptedRuns returns how many tasks ran on the affected workers at the
+// failure, how many of those runs ended without being done, how many of these
+// tasks started again and after what time the last did.
+func (c *cluster) interruptedRuns(runs []taskRun, affectedIDs map[string]bool, at time.Time) (before, ended, restarted int, last time.Duration) {
 	restarts := map[string]time.Time{}
 	for _, r := range runs {
 		if _, ok := restarts[r.task]; !ok && r.Start.After(at) && !c.byID[r.Worker].dead {
@@ -213,8 +215,8 @@
 		}
 	}
 	for _, r := range runs {
-		open := r.Start.Before(at) && (r.End.IsZero() || r.End.After(at))
-		if !open || !hit[r.Worker] {
+		wasRunning := r.Start.Before(at) && (r.End.IsZero() || r.End.After(at))
+		if !wasRunning || !affectedIDs[r.Worker] {
 			continue
 		}
 		before++
@@ -226,16 +228,16 @@
 		}
 		ended++
 		if start, ok := restarts[r.task]; ok {
-			again++
+			restarted++
 			last = max(last, start.Sub(at))
 		}
 	}
-	return before, ended, again, last
+	return before, ended, restarted, last
 }
 
-// onLive returns the runs on workers that live.
-func onLive(runs []run, c *cluster) []run {
-	var kept []run
+// runsOnLiveWorkers returns the runs on workers that are not dead.
+func runsOnLiveWorkers(runs []taskRun, c *cluster) []taskRun {
+	var kept []taskRun
 	for _, r := range runs {
 		if !c.byID[r.Worker].dead {
 			kept = append(kept, r)
--- a/bench/batch/steady.go
+++ b/bench/batch/steady.go
@@ -11,15 +11,15 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// Figures is what a steady load costs.
+// Figures holds the cost of a steady load.
 type Figures struct {
-	Processor float64            // mean share of a core that Step takes at an instance
-	Most      float64            // the same at the busiest instance
-	LongStep  time.Duration      // the longest Step
-	Bytes     map[string]float64 // a second at an instance, by kind of traffic
-	Total     float64            // of Bytes
-	Appends   float64            // a second, all instances
-	Starts    float64            // a second
+	MeanProcessor    float64            // share of a core that Step takes, mean of instances
+	BusiestProcessor float64            // share of a core that Step takes at the busiest instance
+	LongestStep      time.Duration      // longest call of Step
+	Bytes            map[string]float64 // per second of one instance, by kind of traffic
+	Total            float64            // sum of Bytes
+	AppendsPerSecond float64            // of all instances
+	StartsPerSecond  float64            // of tasks
 }
 
 // Measure runs the steady load of a size and returns its cost.
@@ -33,13 +33,13 @@
 	}
 	p := b.plan(s)
 	var f Figures
-	err := b.each(func() error {
+	err := b.runParallel(func() error {
 		c := newCluster(p)
-		if err := c.warm(); err != nil {
+		if err := c.reachSteadyLoad(); err != nil {
 			return err
 		}
 		c.meter.reset()
-		c.run(b.window)
+		c.advance(b.window)
 		f = c.figures(b.window)
 		return nil
 	})
@@ -48,15 +48,15 @@
 
 func (c *cluster) figures(d time.Duration) Figures {
 	f := Figures{Bytes: map[string]float64{}}
-	n := float64(len(c.alive)) * d.Seconds()
-	for _, node := range c.nodes {
-		if node.gone {
+	n := float64(len(c.live)) * d.Seconds()
+	for _, in := range c.instances {
+		if in.stopped {
 			continue
 		}
-		u := c.meter.of(node.id)
-		f.Processor += u.time.Seconds() / n
-		f.Most = max(f.Most, u.time.Seconds()/d.Seconds())
-		f.LongStep = max(f.LongStep, u.most)
+		u := c.meter.usageOf(in.id)
+		f.MeanProcessor += u.stepTime.Seconds() / n
+		f.BusiestProcessor = max(f.BusiestProcessor, u.stepTime.Seconds()/d.Seconds())
+		f.LongestStep = max(f.LongestStep, u.longestStep)
 		for kind, bytes := range u.bytes {
 			f.Bytes[trafficNames[kind]] += float64(bytes) / n
 			f.Total += float64(bytes) / n
@@ -66,8 +66,8 @@
 	for _, n := range c.meter.appends {
 		calls += n
 	}
-	f.Appends = float64(calls) / d.Seconds()
-	f.Starts = float64(c.meter.calls[controller.Start]) / d.Seconds()
+	f.AppendsPerSecond = float64(calls) / d.Seconds()
+	f.StartsPerSecond = float64(c.meter.calls[controller.Start]) / d.Seconds()
 	return f
 }
 
@@ -76,16 +76,16 @@
 	var c *cluster
 	var from time.Time
 	publish := time.Duration(0)
-	err := b.each(func() error {
+	err := b.runParallel(func() error {
 		c = newCluster(b.plan(b.size))
-		if err := c.warm(); err != nil {
+		if err := c.reachSteadyLoad(); err != nil {
 			return err
 		}
 		c.meter.reset()
 		from = c.now
-		c.run(b.window / 2)
-		publish = c.force(c.nodes[1], 1, nil)
-		c.run(from.Add(b.window).Sub(c.now))
+		c.advance(b.window / 2)
+		publish = c.publishAndWait(c.instances[1], 1, nil)
+		c.advance(from.Add(b.window).Sub(c.now))
 		return nil
 	})
 	if err != nil {
@@ -93,17 +93,17 @@
 	}
 	f := c.figures(b.window)
 	rows := [][]string{
-		{"task starts per second", number(f.Starts)},
-		{"appends per second, all instances", number(f.Appends)},
-		{"appends per second, one instance", fmt.Sprintf("%.2f", f.Appends/float64(b.size.Instances))},
-		{"processor time of Step, mean of instances", fmt.Sprintf("%.2f%% of a core", 100*f.Processor)},
-		{"processor time of Step, busiest instance", fmt.Sprintf("%.2f%% of a core", 100*f.Most)},
-		{"longest Step", f.LongStep.Round(time.Millisecond).String()},
+		{"task starts per second", number(f.StartsPerSecond)},
+		{"appends per second, all instances", number(f.AppendsPerSecond)},
+		{"appends per second, one instance", fmt.Sprintf("%.2f", f.AppendsPerSecond/float64(b.size.Instances))},
+		{"processor time of Step, mean of instances", fmt.Sprintf("%.2f%% of a core", 100*f.MeanProcessor)},
+		{"processor time of Step, busiest instance", fmt.Sprintf("%.2f%% of a core", 100*f.BusiestProcessor)},
+		{"longest Step", f.LongestStep.Round(time.Millisecond).String()},
 		{"publication in force everywhere after", seconds(publish)},
 		{"tasks refused of submitted", fmt.Sprintf("%d of %d", c.meter.refused, c.meter.submitted)},
 	}
 	title := fmt.Sprintf("Steady peak: %d zones, %d instances, %d workers, %d tasks, %.0f starts/s, for %v",
-		b.size.AvailabilityZones, b.size.Instances, b.size.Workers, b.size.Tasks, b.size.Starts, b.window)
+		b.size.AvailabilityZones, b.size.Instances, b.size.Workers, b.size.Tasks, b.size.StartsPerSecond, b.window)
 	if err := table(w, title, []string{"figure", "value"}, rows); err != nil {
 		return err
 	}
@@ -129,12 +129,12 @@
 
 func (c *cluster) stepRows(d time.Duration) [][]string {
 	var rows [][]string
-	n := float64(len(c.alive)) * d.Seconds()
+	n := float64(len(c.live)) * d.Seconds()
 	for _, kind := range slices.Sorted(maps.Keys(c.meter.steps)) {
 		steps := float64(c.meter.steps[kind])
-		spent := c.meter.times[kind]
+		total := c.meter.times[kind]
 		rows = append(rows, []string{
-			kind, number(steps / n), number(float64(spent.Microseconds()) / steps), fmt.Sprintf("%.3f", 100*spent.Seconds()/n),
+			kind, number(steps / n), number(float64(total.Microseconds()) / steps), fmt.Sprintf("%.3f", 100*total.Seconds()/n),
 		})
 	}
 	return rows
@@ -151,32 +151,32 @@
 	return rows
 }
 
-// kindsOfRecord counts records and their bytes by body.
-type kindsOfRecord struct {
+// recordCounts holds the records of a stream and their bytes, by kind.
+type recordCounts struct {
 	count, bytes map[string]int
 	claims       []record.Record
-	at           []time.Time
+	claimedAt    []time.Time
 }
 
-func kindsOf(s *stream, from, to time.Time) kindsOfRecord {
-	k := kindsOfRecord{count: map[string]int{}, bytes: map[string]int{}}
-	for _, e := range s.window(from, to) {
+func countRecords(s *stream, from, to time.Time) recordCounts {
+	k := recordCounts{count: map[string]int{}, bytes: map[string]int{}}
+	for _, e := range s.entriesBetween(from, to) {
 		r, err := record.Decode(e.Data)
 		if err != nil {
 			continue
 		}
-		name := bodyName(r)
+		name := recordKind(r)
 		k.count[name]++
 		k.bytes[name] += len(e.Data)
 		if r.Claim != nil {
 			k.claims = append(k.claims, r)
-			k.at = append(k.at, e.Time)
+			k.claimedAt = append(k.claimedAt, e.Time)
 		}
 	}
 	return k
 }
 
-func bodyName(r record.Record) string {
+func recordKind(r record.Record) string {
 	switch {
 	case r.Submit != nil:
 		return "Submit"
@@ -198,18 +198,19 @@
 	return "other"
 }
 
-// logRate is how many appends a second the log takes in the baselines.
+// logRate is the number of appends per second that the log accepts in the
+// baselines.
 const logRate = 300
 
-// baselines prints the records of the window, what a claim of one task per
-// append would make of the same starts, and what one stream for all zones
-// would.
+// baselines prints the records since from, and compares their cost with two
+// baselines for the same starts: one claim and append per task, and one stream
+// for all zones.
 func (c *cluster) baselines(w io.Writer, from time.Time) error {
 	span := c.now.Sub(from).Seconds()
-	sum := kindsOfRecord{count: map[string]int{}, bytes: map[string]int{}}
+	sum := recordCounts{count: map[string]int{}, bytes: map[string]int{}}
 	var single, tasks, singleBytes int
 	for i := range c.plan.size.AvailabilityZones {
-		k := kindsOf(c.stream(controller.ZoneStream(zoneName(i))), from, c.now)
+		k := countRecords(c.stream(controller.ZoneStream(zoneName(i))), from, c.now)
 		for name, n := range k.count {
 			sum.count[name] += n
 			sum.bytes[name] += k.bytes[name]
@@ -238,22 +239,22 @@
 	for _, n := range c.meter.appends {
 		calls += n
 	}
-	perRead := float64(all) / span
-	wait := queueWait(c.arrivalsOf(from))
+	bytesPerSecond := float64(all) / span
+	wait := queueWait(c.appendTimes(from))
 	rows = [][]string{
-		{"claims in batches, a stream per zone", number(float64(calls) / span), number(perRead / zones), "see urgent"},
-		{"a claim per start, an append per record", number(float64(single) / span), number((perRead - float64(sum.bytes["Claim"])/span + float64(singleBytes)/span) / zones), fmt.Sprintf("p99 %v, max %v in the log's queue alone", quantile(wait, 0.99).Round(time.Millisecond), quantile(wait, 1).Round(time.Millisecond))},
-		{"one stream for all zones", number(float64(calls) / span), number(perRead), "as the first"},
+		{"claims in batches, a stream per zone", number(float64(calls) / span), number(bytesPerSecond / zones), "see urgent"},
+		{"a claim per start, an append per record", number(float64(single) / span), number((bytesPerSecond - float64(sum.bytes["Claim"])/span + float64(singleBytes)/span) / zones), fmt.Sprintf("p99 %v, max %v in the log's queue alone", quantile(wait, 0.99).Round(time.Millisecond), quantile(wait, 1).Round(time.Millisecond))},
+		{"one stream for all zones", number(float64(calls) / span), number(bytesPerSecond), "as the first"},
 	}
 	return table(w, fmt.Sprintf("Baselines, the same starts (the log takes %d appends a second)", logRate), []string{"way", "appends/s", "record bytes/s read by an instance", "wait of an append"}, rows)
 }
 
-// arrivalsOf returns when the records of all zones were accepted, each claim
-// once for each of its tasks.
-func (c *cluster) arrivalsOf(from time.Time) []time.Time {
+// appendTimes returns the sorted times at which the records of all zones were
+// accepted, with each claim repeated for each of its tasks.
+func (c *cluster) appendTimes(from time.Time) []time.Time {
 	var all []time.Time
 	for i := range c.plan.size.AvailabilityZones {
-		for _, e := range c.stream(controller.ZoneStream(zoneName(i))).window(from, c.now) {
+		for _, e := range c.stream(controller.ZoneStream(zoneName(i))).entriesBetween(from, c.now) {
 			r, err := record.Decode(e.Data)
 			if err != nil {
 				continue
@@ -271,17 +272,17 @@
 	return all
 }
 
-// queueWait returns the sorted waits of appends that the log takes one after
-// the other.
+// queueWait returns the sorted waits of appends that the log accepts one at a
+// time, at logRate.
 func queueWait(arrivals []time.Time) []time.Duration {
-	const each = time.Second / logRate
+	const appendTime = time.Second / logRate
 	var free time.Time
 	var waits []time.Duration
 	for _, at := range arrivals {
 		if free.Before(at) {
 			free = at
 		}
-		free = free.Add(each)
+		free = free.Add(appendTime)
 		waits = append(waits, free.Sub(at))
 	}
 	slices.Sort(waits)
--- a/bench/batch/table.go
+++ b/bench/batch/table.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%.1f s", d.Seconds())
 }
 
-// quantile returns the value below which a part of the sorted values lies.
+// quantile returns the value below which a share of the sorted values lies.
 func quantile(sorted []time.Duration, part float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -44,15 +44,15 @@
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// run is one run of a task on a worker.
-type run struct {
+// taskRun is a run of a task on a worker.
+type taskRun struct {
 	task string
 	worker.Interval
 }
 
-// runs returns what ran on all workers by start, and how many tasks ever ran
-// in two places at once.
-func (c *cluster) runs() (all []run, overlaps int) {
+// taskRuns returns the runs on all workers, sorted by start, and the number of
+// tasks that ever ran in two places at once.
+func (c *cluster) taskRuns() (all []taskRun, overlaps int) {
 	var ledgers []worker.Ledger
 	for _, b := range c.workers {
 		ledgers = append(ledgers, b.Ledger())
@@ -62,15 +62,15 @@
 			overlaps++
 		}
 		for _, i := range a.Runs {
-			all = append(all, run{a.Task, i})
+			all = append(all, taskRun{a.Task, i})
 		}
 	}
-	slices.SortFunc(all, func(a, b run) int { return a.Start.Compare(b.Start) })
+	slices.SortFunc(all, func(a, b taskRun) int { return a.Start.Compare(b.Start) })
 	return all, overlaps
 }
 
-// doneIn returns how many runs ended done within [from, to).
-func doneIn(runs []run, from, to time.Time) int {
+// countDone returns how many runs completed within [from, to).
+func countDone(runs []taskRun, from, to time.Time) int {
 	n := 0
 	for _, r := range runs {
 		if r.State == "done" && !r.End.Before(from) && r.End.Before(to) {
@@ -80,7 +80,7 @@
 	return n
 }
 
-func startedIn(runs []run, from, to time.Time) int {
+func countStarted(runs []taskRun, from, to time.Time) int {
 	n := 0
 	for _, r := range runs {
 		if !r.Start.Before(from) && r.Start.Before(to) {
@@ -90,8 +90,8 @@
 	return n
 }
 
-// runningAt returns how many runs go on at a time.
-func runningAt(runs []run, at time.Time) int {
+// countRunning returns how many runs are in progress at a time.
+func countRunning(runs []taskRun, at time.Time) int {
 	n := 0
 	for _, r := range runs {
 		if !r.Start.After(at) && (r.End.IsZero() || r.End.After(at)) {
--- a/bench/batch/wire.go
+++ b/bench/batch/wire.go
@@ -22,39 +22,39 @@
 	"github.com/dogwoodladder/dogwoodladder/standin/worker"
 )
 
-// wireSizes is what messages take on a connection beside their bodies, both
-// directions together, without the headers of TCP and IP. It is measured with
-// the real clients and servers on a connection in memory.
+// wireSizes holds the bytes that messages take on a connection in addition to
+// their bodies, in both directions together, without TCP and IP headers. They
+// are measured with the real clients and servers on an in-memory connection.
 type wireSizes struct {
-	beat   int // a whole heartbeat in which a part of the free slots changed
-	lease  int // a call about a lease
-	call   int // another call to a worker
-	append int
-	read   int
-	list   int // a reading of a list that hasn't changed
-	report int
-	entry  int // of a page, beside its data
+	heartbeat int // a whole heartbeat in which some of the free slots changed
+	lease     int // a call about a lease
+	call      int // any other call to a worker
+	append    int
+	read      int
+	list      int // a poll of an unchanged instance list
+	report    int
+	entry     int // an entry of a page, without its data
 }
 
 const (
 	calibrationTimeout = 10 * time.Second
 	calibrationRounds  = 16
-	changedPart        = 4 // a quarter of the services' free slots changes from beat to beat
+	changedDivisor     = 4 // a quarter of the services' free slots change with each heartbeat
 )
 
-// counting counts what passes in both directions.
-type counting struct {
+// countingConn counts the bytes in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counting) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counting) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -66,7 +66,7 @@
 	opts    []client.Option
 }
 
-// calibrate measures the sizes of messages for a number of services.
+// calibrate measures the message sizes of a site with a number of services.
 func calibrate(services int) (wireSizes, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), calibrationTimeout)
 	defer cancel()
@@ -81,17 +81,17 @@
 			return s, err
 		}
 	}
-	beat, err := c.beat(ctx, services)
-	s.beat = beat
+	beat, err := c.heartbeat(ctx, services)
+	s.heartbeat = beat
 	return s, err
 }
 
 func (c *calibration) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := c.network.Dial(ctx, network, address)
-	return counting{conn, &c.bytes}, err
+	return countingConn{conn, &c.bytes}, err
 }
 
-// size returns the bytes that a call takes once its connection is open.
+// size returns the bytes of a call on a connection that is already open.
 func (c *calibration) size(call func() error) (int, error) {
 	if err := call(); err != nil {
 		return 0, err
@@ -162,8 +162,8 @@
 	return err
 }
 
-// beat returns the size of one heartbeat on a link that is up.
-func (c *calibration) beat(ctx context.Context, services int) (int, error) {
+// heartbeat returns the mean size of a heartbeat on an established link.
+func (c *calibration) heartbeat(ctx context.Context, services int) (int, error) {
 	a := peer.New(peer.WithSelf(member.Self{ID: "e00", AvailabilityZone: "zone-a", Incarnation: 1}), peer.WithDialer(c.dial))
 	b := peer.New(peer.WithSelf(member.Self{ID: "e01", AvailabilityZone: "zone-a", Incarnation: 1}), peer.WithDialer(c.dial))
 	server := &http.Server{Handler: b, ReadHeaderTimeout: time.Second}
@@ -178,7 +178,7 @@
 		if err := a.Send("e01", heartbeat(i, services)); err != nil {
 			return 0, err
 		}
-		if err := awaitBeat(ctx, b, i+1); err != nil {
+		if err := awaitHeartbeat(ctx, b, i+1); err != nil {
 			return 0, err
 		}
 		if i == 0 {
@@ -192,7 +192,7 @@
 	free := map[string]int{}
 	for s := range services {
 		free[fmt.Sprintf("service-%d", s)] = 20
-		if s%changedPart == 0 {
+		if s%changedDivisor == 0 {
 			free[fmt.Sprintf("service-%d", s)] = 20 + 10*int(i%2)
 		}
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-func awaitBeat(ctx context.Context, m *peer.Mesh, count uint64) error {
+func awaitHeartbeat(ctx context.Context, m *peer.Mesh, count uint64) error {
 	for {
 		select {
 		case r := <-m.Received():
--- a/bench/capacity/capacity.go
+++ b/bench/capacity/capacity.go
@@ -1,15 +1,15 @@
 // Package capacity measures how state, processor time, memory and control
-// bytes grow with the size of a site: at four or more sizes each, with the
-// least-squares line through them.
+// traffic grow with the size of a site. Each quantity is measured at four or
+// more sizes and fitted with a least-squares line.
 //
 // Usage:
 //
 //	err := capacity.New().Run(os.Stdout)
 //
-// Run prints Markdown tables. The section "state" folds records, "control"
-// runs the controllers of package batch in virtual time, and "process" starts
-// the program itself as separate processes, with stand-ins of the platform,
-// and ends them.
+// Run prints Markdown tables. The section "state" applies records to the state
+// of a zone, "control" runs the controllers of package batch in virtual time,
+// and "process" starts the program itself and stand-ins of the platform as
+// separate processes, and stops them at the end.
 package capacity
 
 import (
@@ -33,20 +33,20 @@
 // Option sets up a Bench.
 type Option func(*Bench)
 
-// WithSize sets the size that the slopes are taken around (default that of
-// batch.Planned).
+// WithSize sets the size of the site around which single quantities are varied
+// (default batch.Planned).
 func WithSize(s batch.Size) Option {
 	return func(b *Bench) { b.size = s }
 }
 
-// WithProgram sets the program whose processes are measured (default the
-// running one).
+// WithProgram sets the path of the program to measure (default the running
+// one).
 func WithProgram(path string) Option {
 	return func(b *Bench) { b.program = path }
 }
 
-// WithPort sets the first of the ports that processes listen on (default
-// 17000); a thousand are used.
+// WithPort sets the first port that processes listen on (default 17000). They
+// use up to a thousand ports from there.
 func WithPort(port int) Option {
 	return func(b *Bench) { b.port = port }
 }
@@ -56,7 +56,8 @@
 	return func(b *Bench) { b.window = d }
 }
 
-// WithParallel sets how many runs in virtual time go on at once (default 3).
+// WithParallel sets how many runs in virtual time execute concurrently
+// (default 3).
 func WithParallel(n int) Option {
 	return func(b *Bench) { b.parallel = n }
 }
@@ -87,7 +88,7 @@
 	{"process", (*Bench).process},
 }
 
-// Run prints the tables that the options name.
+// Run prints the selected tables.
 func (b *Bench) Run(w io.Writer) error {
 	for _, s := range sections {
 		if len(b.sections) > 0 && !slices.Contains(b.sections, s.name) {
--- a/bench/capacity/fit.go
+++ b/bench/capacity/fit.go
@@ -8,9 +8,9 @@
 
 // line is the least-squares fit y = base + slope x.
 type line struct {
-	base   float64
-	slope  float64
-	square float64 // R², how much of the variation the line explains
+	base     float64
+	slope    float64
+	rSquared float64 // R², the share of the variation that the line explains
 }
 
 func fit(xs, ys []float64) line {
@@ -24,33 +24,33 @@
 		sxy += x * y
 		syy += y * y
 	}
-	across := n*sxx - sx*sx
-	if across == 0 {
+	spread := n*sxx - sx*sx
+	if spread == 0 {
 		return line{base: sy / n}
 	}
-	slope := (n*sxy - sx*sy) / across
-	l := line{base: (sy - slope*sx) / n, slope: slope, square: 1}
+	slope := (n*sxy - sx*sy) / spread
+	l := line{base: (sy - slope*sx) / n, slope: slope, rSquared: 1}
 	if total := n*syy - sy*sy; total > 0 {
-		l.square = slope * slope * across / total
+		l.rSquared = slope * slope * spread / total
 	}
 	return l
 }
 
-// series is one quantity by one size.
+// series holds the values of one quantity as another one grows.
 type series struct {
-	size   string // what grows
+	grows  string // what grows
 	value  string // what is measured, with its unit
 	xs, ys []float64
 }
 
-// write prints a series as a row: its points and its line.
+// row formats a series as a row of a table: its points and the fitted line.
 func (s series) row() []string {
 	l := fit(s.xs, s.ys)
 	points := make([]string, len(s.xs))
 	for i := range s.xs {
 		points[i] = fmt.Sprintf("%s: %s", number(s.xs[i]), number(s.ys[i]))
 	}
-	return []string{s.value, s.size, strings.Join(points, ", "), number(l.base), number(l.slope), fmt.Sprintf("%.3f", l.square)}
+	return []string{s.value, s.grows, strings.Join(points, ", "), number(l.base), number(l.slope), fmt.Sprintf("%.3f", l.rSquared)}
 }
 
 var seriesHeader = []string{"value", "by", "points", "base", "slope", "R²"}
--- a/bench/capacity/fit_test.go
+++ b/bench/capacity/fit_test.go
@@ -24,7 +24,7 @@
 			got := fit(c.xs, c.ys)
 			is.True(math.Abs(got.base-c.want.base) < close)
 			is.True(math.Abs(got.slope-c.want.slope) < close)
-			is.True(math.Abs(got.square-c.want.square) < close)
+			is.True(math.Abs(got.rSquared-c.want.rSquared) < close)
 		})
 	}
 }
--- a/bench/capacity/site.go
+++ b/bench/capacity/site.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	startPatience = 20 * time.Second
-	endPatience   = 5 * time.Second
-	ticksPerSec   = 100 // of processor time in /proc
-	pageBytes     = 1 << 10
+	startTimeout  = 20 * time.Second
+	stopTimeout   = 5 * time.Second
+	ticksPerSec   = 100 // unit of processor time in /proc
+	maxErrorBytes = 1 << 10
 	workerPorts   = 100
 	entryPorts    = 500
 	host          = "127.0.0.1"
 )
 
-// site is a set of processes: stand-ins of the platform, and instances.
+// site is a set of processes: instances and stand-ins of the platform.
 type site struct {
 	program string
 	port    int
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s:%d", host, s.port+port)
 }
 
-// start runs the program with arguments until end.
+// start starts the program with arguments. It runs until stop.
 func (s *site) start(args ...string) (*exec.Cmd, error) {
 	c := exec.Command(s.program, args...)
 	if err := c.Start(); err != nil {
@@ -70,29 +70,30 @@
 	return c, nil
 }
 
-// end ends the processes that this site started.
-func (s *site) end() {
+// stop interrupts the processes that this site started, and kills those that
+// don't exit within stopTimeout.
+func (s *site) stop() {
 	for i := len(s.started) - 1; i >= 0; i-- {
 		_ = s.started[i].Process.Signal(os.Interrupt)
 	}
 	for _, c := range s.started {
-		timer := time.AfterFunc(endPatience, func() { _ = c.Process.Kill() })
+		timer := time.AfterFunc(stopTimeout, func() { _ = c.Process.Kill() })
 		_ = c.Wait()
 		timer.Stop()
 	}
 	os.RemoveAll(s.dir)
 }
 
-// boot starts the stand-ins, a number of workers and instances of one zone,
-// and lists others that don't run.
-func (s *site) boot(workers, instances, listed int) error {
+// startAll starts the stand-ins, and workers and instances of one zone. It also
+// puts workers that don't run on the instance list.
+func (s *site) startAll(workers, instances, listed int) error {
 	if _, err := s.start("standin", "log", "--listen", s.address(1)); err != nil {
 		return err
 	}
 	if _, err := s.start("standin", "list", "--listen", s.address(2)); err != nil {
 		return err
 	}
-	if err := s.await(2, "/instances"); err != nil {
+	if err := s.awaitServer(2, "/instances"); err != nil {
 		return err
 	}
 	for i := range workers {
@@ -102,24 +103,25 @@
 			return err
 		}
 	}
-	if err := s.pad(listed); err != nil {
+	if err := s.listOtherWorkers(listed); err != nil {
 		return err
 	}
 	for i := range instances {
-		if err := s.bootEntry(i); err != nil {
+		if err := s.startEntry(i); err != nil {
 			return err
 		}
 	}
 	for i := range instances {
-		if err := s.await(entryPorts+3*i+2, "/healthz"); err != nil {
+		if err := s.awaitServer(entryPorts+3*i+2, "/healthz"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pad lists workers of another zone.
-func (s *site) pad(n int) error {
+// listOtherWorkers puts n workers of another zone on the instance list. They
+// don't run.
+func (s *site) listOtherWorkers(n int) error {
 	list := client.NewRegistrar(s.address(2))
 	for i := range n {
 		in := provider.Instance{
@@ -133,7 +135,7 @@
 	return nil
 }
 
-func (s *site) bootEntry(i int) error {
+func (s *site) startEntry(i int) error {
 	id := fmt.Sprintf("e%02d", i)
 	caller, peer, operator := s.address(entryPorts+3*i), s.address(entryPorts+3*i+1), s.address(entryPorts+3*i+2)
 	text := fmt.Sprintf("instance: %s\nzone: %s\nlisten: {caller: %q, peer: %q, operator: %q}\nplatform: {log: %q, list: %q}\n",
@@ -157,9 +159,9 @@
 	return nil
 }
 
-// await waits until a server answers.
-func (s *site) await(port int, path string) error {
-	for end := time.Now().Add(startPatience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+// awaitServer waits until a server answers an HTTP request.
+func (s *site) awaitServer(port int, path string) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		r, err := http.Get("http://" + s.address(port) + path)
 		if err != nil {
 			continue
@@ -181,14 +183,14 @@
 		return err
 	}
 	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, pageBytes))
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxErrorBytes))
 	if err == nil && r.StatusCode >= http.StatusBadRequest {
 		err = fault.New(fault.Invalid, "%s: %s", path, text)
 	}
 	return err
 }
 
-// apply publishes a manifest with a number of services.
+// apply publishes a manifest for a number of workers and services.
 func (s *site) apply(workers, services, replicas int) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "zones:\n  - {name: %s, capacity: {processors: %d, memory: %dMiB}}\ngroups:\n", availabilityZone, 64*workers, 250*1024*workers)
@@ -204,7 +206,7 @@
 	return s.post("/apply?wait=10s", []byte(text.String()))
 }
 
-// submit queues tasks that run for a while.
+// submit submits a job of n tasks that run for d.
 func (s *site) submit(serial, n int, d time.Duration) error {
 	var body daemon.Submission
 	for i := range n {
@@ -220,15 +222,15 @@
 	return s.post("/jobs", data)
 }
 
-// reading is what the system says of a process at one moment.
-type reading struct {
-	resident float64 // bytes
-	spent    float64 // seconds of processor time
-	moved    float64 // bytes read and written by system calls, sockets included
+// processUsage is the resource usage of a process, as read from /proc.
+type processUsage struct {
+	resident         float64 // bytes
+	processorSeconds float64 // user and system time
+	ioBytes          float64 // bytes read and written by system calls, sockets included
 }
 
-func read(pid int) (reading, error) {
-	var r reading
+func readUsage(pid int) (processUsage, error) {
+	var r processUsage
 	base := fmt.Sprintf("/proc/%d/", pid)
 	status, err := os.ReadFile(base + "status")
 	if err != nil {
@@ -243,8 +245,8 @@
 		return r, err
 	}
 	r.resident = field(status, "VmRSS:") * 1024
-	r.moved = field(moved, "rchar:") + field(moved, "wchar:")
-	const user, system = 11, 12 // of the fields after the name
+	r.ioBytes = field(moved, "rchar:") + field(moved, "wchar:")
+	const user, system = 11, 12 // indices of the fields after the process name
 	_, after, _ := strings.Cut(string(stat), ") ")
 	words := strings.Fields(after)
 	for _, i := range []int{user, system} {
@@ -252,7 +254,7 @@
 		if err != nil {
 			return r, err
 		}
-		r.spent += ticks / ticksPerSec
+		r.processorSeconds += ticks / ticksPerSec
 	}
 	return r, nil
 }
@@ -269,21 +271,22 @@
 	return 0
 }
 
-// cost is what an instance spent over a window, the mean of all instances.
+// cost is the resource usage of an instance over a window, as the mean of all
+// instances.
 type cost struct {
 	resident  float64 // MiB
 	processor float64 // % of a core
-	bytes     float64 // a second, both directions
+	bytes     float64 // per second, both directions
 }
 
-func (s *site) cost(window time.Duration) (cost, error) {
-	before, err := s.readAll()
+func (s *site) measureCost(window time.Duration) (cost, error) {
+	before, err := s.readEntries()
 	if err != nil {
 		return cost{}, err
 	}
 	began := time.Now()
 	time.Sleep(window)
-	after, err := s.readAll()
+	after, err := s.readEntries()
 	if err != nil {
 		return cost{}, err
 	}
@@ -292,16 +295,16 @@
 	n := float64(len(after))
 	for i := range after {
 		c.resident += after[i].resident / (1 << 20) / n
-		c.processor += 100 * (after[i].spent - before[i].spent) / span / n
-		c.bytes += (after[i].moved - before[i].moved) / span / n
+		c.processor += 100 * (after[i].processorSeconds - before[i].processorSeconds) / span / n
+		c.bytes += (after[i].ioBytes - before[i].ioBytes) / span / n
 	}
 	return c, nil
 }
 
-func (s *site) readAll() ([]reading, error) {
-	var all []reading
+func (s *site) readEntries() ([]processUsage, error) {
+	var all []processUsage
 	for _, c := range s.entries {
-		r, err := read(c.Process.Pid)
+		r, err := readUsage(c.Process.Pid)
 		if err != nil {
 			return nil, err
 		}
--- a/bench/capacity/state.go
+++ b/bench/capacity/state.go
@@ -18,39 +18,39 @@
 var (
 	workerCapacity = resource.Vector{Processors: 64_000, Memory: 250 << 10}
 	taskNeed       = resource.Vector{Processors: 2000, Memory: 8 << 10}
-	startOfTime    = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	epoch          = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// filling folds generated records.
-type filling struct {
+// stateBuilder applies generated records to the state of a zone.
+type stateBuilder struct {
 	state    *zone.State
 	writer   record.Writer
 	offset   uint64
 	sequence uint64
 }
 
-func newFilling() *filling {
-	return &filling{state: zone.New(availabilityZone), writer: record.Writer{ID: "e00", Incarnation: 1}}
+func newStateBuilder() *stateBuilder {
+	return &stateBuilder{state: zone.New(availabilityZone), writer: record.Writer{ID: "e00", Incarnation: 1}}
 }
 
-func (f *filling) apply(r record.Record) {
+func (f *stateBuilder) apply(r record.Record) {
 	f.sequence++
 	r.Version = record.Version
 	r.Writer = f.writer
 	r.Sequence = f.sequence
 	data, err := record.Encode(r)
 	if err != nil {
-		panic(err) // the records are sound
+		panic(err) // the records are valid
 	}
-	r, err = record.Decode(data) // so that strings are held as they are in a daemon
+	r, err = record.Decode(data) // so that the state holds decoded strings, as in a daemon
 	if err != nil {
 		panic(err)
 	}
-	f.state.Apply(f.offset, startOfTime.Add(time.Duration(f.offset)*time.Millisecond), r)
+	f.state.Apply(f.offset, epoch.Add(time.Duration(f.offset)*time.Millisecond), r)
 	f.offset++
 }
 
-func (f *filling) groups(n int) {
+func (f *stateBuilder) addGroups(n int) {
 	limits := map[string]resource.Vector{}
 	for i := range n {
 		limits[fmt.Sprintf("group-%02d", i)] = workerCapacity.Scale(1000)
@@ -58,13 +58,13 @@
 	f.apply(record.Record{Limits: &record.Limits{Revision: 1, Groups: limits}})
 }
 
-func (f *filling) workers(n int) {
+func (f *stateBuilder) addWorkers(n int) {
 	for i := range n {
 		f.apply(record.Record{Own: &record.Own{Worker: fmt.Sprintf("w%04d", i), Epoch: 1, Capacity: workerCapacity, Rack: fmt.Sprintf("r%02d", i/11)}})
 	}
 }
 
-func (f *filling) instances(n int) {
+func (f *stateBuilder) addInstances(n int) {
 	for i := range n {
 		f.writer = record.Writer{ID: fmt.Sprintf("f%03d", i), Incarnation: 1}
 		f.sequence = 0
@@ -72,8 +72,8 @@
 	}
 }
 
-// tasks submits tasks and claims them, and completes them if they are to end.
-func (f *filling) tasks(n int, end bool) {
+// addTasks submits and claims n tasks, and completes them if end is set.
+func (f *stateBuilder) addTasks(n int, end bool) {
 	for i := range n {
 		id := fmt.Sprintf("job-%d-%d", 100000+i/20, i%20)
 		f.apply(record.Record{Submit: &record.Submit{Tasks: []record.Task{{
@@ -87,25 +87,26 @@
 	}
 }
 
-// measured is what a state takes.
-type measured struct {
+// stateCost is the memory of a state, and the size and encoding time of its
+// snapshot.
+type stateCost struct {
 	heap, snapshot float64
 	encode         time.Duration
 }
 
-func measure(fill func(*filling)) measured {
+func measure(fill func(*stateBuilder)) stateCost {
 	before := heapSize()
-	f := newFilling()
+	f := newStateBuilder()
 	fill(f)
-	held := heapSize() - before
+	heapBytes := heapSize() - before
 	began := time.Now()
 	snapshot, err := f.state.Snapshot()
-	spent := time.Since(began)
+	encodeTime := time.Since(began)
 	if err != nil {
-		panic(err) // the default settings rule that out
+		panic(err) // the default settings keep a snapshot within the size of a record
 	}
 	runtime.KeepAlive(f)
-	return measured{heap: float64(held), snapshot: float64(len(snapshot)), encode: spent}
+	return stateCost{heap: float64(heapBytes), snapshot: float64(len(snapshot)), encode: encodeTime}
 }
 
 func heapSize() int64 {
@@ -116,25 +117,26 @@
 	return int64(m.HeapAlloc)
 }
 
-// state measures the folded state of one zone.
+// state measures the memory and snapshot size of a zone's state as its contents
+// grow.
 func (b *Bench) state(w io.Writer) error {
-	grown := []struct {
+	sweeps := []struct {
 		name  string
 		sizes []int
-		fill  func(f *filling, n int)
+		fill  func(f *stateBuilder, n int)
 	}{
-		{"live tasks", []int{500, 1000, 2000, 4000, 8000}, func(f *filling, n int) { f.workers(2000); f.groups(40); f.tasks(n, false) }},
-		{"ended tasks", []int{2000, 5000, 10000, 20000}, func(f *filling, n int) { f.workers(2000); f.groups(40); f.tasks(n, true) }},
-		{"workers", []int{50, 100, 200, 400, 800}, func(f *filling, n int) { f.workers(n) }},
-		{"instances", []int{8, 50, 200, 800}, func(f *filling, n int) { f.instances(n) }},
-		{"groups", []int{10, 40, 160, 640}, func(f *filling, n int) { f.groups(n) }},
+		{"live tasks", []int{500, 1000, 2000, 4000, 8000}, func(f *stateBuilder, n int) { f.addWorkers(2000); f.addGroups(40); f.addTasks(n, false) }},
+		{"ended tasks", []int{2000, 5000, 10000, 20000}, func(f *stateBuilder, n int) { f.addWorkers(2000); f.addGroups(40); f.addTasks(n, true) }},
+		{"workers", []int{50, 100, 200, 400, 800}, func(f *stateBuilder, n int) { f.addWorkers(n) }},
+		{"instances", []int{8, 50, 200, 800}, func(f *stateBuilder, n int) { f.addInstances(n) }},
+		{"groups", []int{10, 40, 160, 640}, func(f *stateBuilder, n int) { f.addGroups(n) }},
 	}
 	var all []series
-	for _, g := range grown {
-		heap := series{size: g.name, value: "heap bytes"}
-		snapshot := series{size: g.name, value: "snapshot bytes"}
+	for _, g := range sweeps {
+		heap := series{grows: g.name, value: "heap bytes"}
+		snapshot := series{grows: g.name, value: "snapshot bytes"}
 		for _, n := range g.sizes {
-			m := measure(func(f *filling) { g.fill(f, n) })
+			m := measure(func(f *stateBuilder) { g.fill(f, n) })
 			heap.xs, heap.ys = append(heap.xs, float64(n)), append(heap.ys, m.heap)
 			snapshot.xs, snapshot.ys = append(snapshot.xs, float64(n)), append(snapshot.ys, m.snapshot)
 		}
@@ -144,9 +146,10 @@
 	return seriesTable(w, "State of one zone at one instance", all)
 }
 
-// manifestSeries measures a published manifest by its declared jobs.
+// manifestSeries measures the size of a published manifest by its number of
+// declared jobs.
 func manifestSeries() series {
-	s := series{size: "declared jobs", value: "published manifest bytes"}
+	s := series{grows: "declared jobs", value: "published manifest bytes"}
 	for _, n := range []int{0, 500, 1000, 2000, 4000} {
 		var text strings.Builder
 		text.WriteString("zones:\n  - {name: zone-a, capacity: {processors: 14080, memory: 55000GiB}}\ngroups:\n  - {name: group-00, share: 50%}\n")
@@ -158,7 +161,7 @@
 		}
 		m, err := manifest.Parse("manifest", []byte(text.String()))
 		if err != nil {
-			panic(err) // the text is sound
+			panic(err) // the text is valid
 		}
 		published, err := m.Encode()
 		if err != nil {
