--- a/zone/attempt.go
+++ b/zone/attempt.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	maxStreak = 3 // distinct tasks that a worker fails in a row before it is quarantined
-	maxBlames = 3 // distinct sound workers that a task fails on before it is parked
+	maxFailureStreak = 3 // distinct tasks that a worker fails in a row before it is quarantined
+	maxFailedWorkers = 3 // distinct workers, none quarantined, that a task fails on before it is parked
 
-	// maxFailures bounds the failed attempts of a task that finds no third
-	// worker to fail on.
+	// maxFailures parks a task that fails repeatedly but on fewer than
+	// maxFailedWorkers distinct workers.
 	maxFailures = 8
 )
 
-// current returns a task that hasn't ended, if a is its current attempt.
-func (s *State) current(a record.Attempt) (*task, Reason) {
+// currentAttempt returns the task of a if it hasn't ended and a is its
+// currentAttempt attempt, and otherwise the reason why a is refused.
+func (s *State) currentAttempt(a record.Attempt) (*task, Reason) {
 	t := s.tasks[a.Task]
 	if t == nil {
 		return nil, UnknownTask
 	}
-	if ended(t.state) {
+	if isEnded(t.state) {
 		return nil, AlreadyEnded
 	}
 	if t.attempt != a.Number {
@@ -32,17 +33,17 @@
 	return t, None
 }
 
-// attempted returns the task whose current attempt the writer may end, and
-// nil with the outcome void otherwise.
+// attemptToEnd returns the task whose current attempt the writer may end, or
+// nil after marking the outcome void.
 //
-// What goes wrong: the end of an attempt is reported late, twice, or by an
-// owner that has lost the task since. One would notice a second completion, or
-// a task resumed twice from one eviction. Only the current attempt in the
-// writer's own escrow can be ended, and ending it makes it stale.
-func (s *State) attempted(by *run, a record.Attempt, o *Outcome) *task {
-	t, reason := s.current(a)
+// The end of an attempt may be reported late, twice, or by an owner that has
+// lost the task since. Accepting it would complete a task twice or resume it
+// twice from one eviction. Only the current attempt in the writer's own escrow
+// can be ended, and ending it makes the attempt number stale.
+func (s *State) attemptToEnd(writer *incarnation, a record.Attempt, o *Outcome) *task {
+	t, reason := s.currentAttempt(a)
 	if reason == None {
-		reason = s.heldBy(by, t)
+		reason = s.checkOwner(writer, t)
 	}
 	if reason != None {
 		o.void(reason, a.Task)
@@ -51,25 +52,25 @@
 	return t
 }
 
-func (s *State) done(by *run, body *record.Done, o *Outcome) {
-	t := s.attempted(by, body.Attempt, o)
+func (s *State) applyDone(writer *incarnation, body *record.Done, o *Outcome) {
+	t := s.attemptToEnd(writer, body.Attempt, o)
 	if t == nil {
 		return
 	}
 	s.setWorker(t, body.Worker)
-	s.setNote(t, "")
-	s.setNote(t, body.Result)
-	next, _ := taskChart.Next(t.state, eventComplete) // every task in an escrow takes it
-	s.move(t, next, nil)
-	o.change(t)
+	s.setMessage(t, "")
+	s.setMessage(t, body.Result)
+	next, _ := taskChart.Next(t.state, eventComplete) // valid in every escrow state
+	s.transition(t, next, nil)
+	o.addChanged(t)
 	if w := s.workers[body.Worker]; w != nil {
-		w.streak = nil
-		s.release(w)
+		w.failureStreak = nil
+		s.endQuarantine(w)
 	}
 }
 
-func (s *State) evicted(by *run, body *record.Evicted, o *Outcome) {
-	t := s.attempted(by, body.Attempt, o)
+func (s *State) applyEvicted(writer *incarnation, body *record.Evicted, o *Outcome) {
+	t := s.attemptToEnd(writer, body.Attempt, o)
 	if t == nil {
 		return
 	}
@@ -78,124 +79,126 @@
 	s.requeue(t, eventEvict, o)
 }
 
-func (s *State) failed(by *run, body *record.Failed, o *Outcome) {
-	t := s.attempted(by, body.Attempt, o)
+func (s *State) applyFailed(writer *incarnation, body *record.Failed, o *Outcome) {
+	t := s.attemptToEnd(writer, body.Attempt, o)
 	if t == nil {
 		return
 	}
 	s.setWorker(t, body.Worker)
-	s.setNote(t, body.Reason)
+	s.setMessage(t, body.Reason)
 	event := eventFail
-	if s.blame(s.workers[body.Worker], t, o) {
+	if s.recordFailure(s.workers[body.Worker], t, o) {
 		event = eventExhaust
 	}
 	s.requeue(t, event, o)
 }
 
-// requeue ends an attempt. The task goes on with the next one, or is
-// cancelled when that was asked for.
+// requeue ends the current attempt. The event decides whether the task is
+// queued for its next attempt or parked; a task in cancelling is cancelled.
 func (s *State) requeue(t *task, event chart.Event, o *Outcome) {
-	next, _ := taskChart.Next(t.state, event) // every task in an escrow takes it
+	next, _ := taskChart.Next(t.state, event) // valid in every escrow state
 	if event == eventFail || event == eventExhaust {
 		t.group.Failed++
 	} else {
 		t.group.Evicted++
 	}
 	t.attempt++
-	t.found = false
-	s.move(t, next, nil)
-	o.change(t)
+	t.foundOnWorker = false
+	s.transition(t, next, nil)
+	o.addChanged(t)
 }
 
-// blame counts a failure on the worker and the task and reports whether the
-// task has failed on enough workers. The worker is nil when it is unknown.
+// recordFailure counts a failure for the worker and the task and reports
+// whether the task must be parked. The worker is nil when it is unknown.
 //
-// What goes wrong: a worker that fails everything uses up the attempts of
-// sound tasks, and a task that can't run uses up sound workers. One would
-// notice tasks parked that run elsewhere, or the same task starting for ever.
-// A worker that fails several tasks in a row takes the blame from all of them;
-// a task that fails on several other workers is to blame itself. A task counts
-// against the first worker that it fails on only: tasks that can't run would
-// otherwise put one worker after the other out of service.
-func (s *State) blame(w *worker, t *task, o *Outcome) bool {
-	first := !t.suspect
-	t.suspect = true
-	if w == nil || w.quarantined() {
+// It tells a defective worker from a defective task. Otherwise a worker that
+// fails everything would get tasks parked that run elsewhere, and a task that
+// can't run would be restarted forever. A worker that fails several distinct
+// tasks in a row is quarantined and its failures are taken off those tasks; a
+// task that fails on several other workers is parked. Only the first worker
+// that a task fails on counts it in its streak: tasks that can't run would
+// otherwise quarantine one worker after the other.
+func (s *State) recordFailure(w *worker, t *task, o *Outcome) bool {
+	first := !t.hasFailed
+	t.hasFailed = true
+	if w == nil || w.isQuarantined() {
 		return false
 	}
 	t.failures++
-	if first && len(w.streak) < maxStreak {
-		w.streak = append(w.streak, t.id)
+	if first && len(w.failureStreak) < maxFailureStreak {
+		w.failureStreak = append(w.failureStreak, t.id)
 	}
-	if len(w.streak) >= maxStreak {
-		s.isolate(w, o)
+	if len(w.failureStreak) >= maxFailureStreak {
+		s.quarantineWorker(w, o)
 		return false
 	}
-	s.setBlame(w, t)
-	return len(s.blames[t]) >= maxBlames || t.failures >= maxFailures
+	s.addFailure(w, t)
+	return len(s.failedOn[t]) >= maxFailedWorkers || t.failures >= maxFailures
 }
 
-func (s *State) setBlame(w *worker, t *task) {
-	if w.blamed[t] {
+func (s *State) addFailure(w *worker, t *task) {
+	if w.failedTasks[t] {
 		return
 	}
-	if w.blamed == nil {
-		w.blamed = map[*task]bool{}
+	if w.failedTasks == nil {
+		w.failedTasks = map[*task]bool{}
 	}
-	w.blamed[t] = true
-	s.blames[t] = append(s.blames[t], w)
+	w.failedTasks[t] = true
+	s.failedOn[t] = append(s.failedOn[t], w)
 }
 
-// unblame drops the failures of an ended task.
-func (s *State) unblame(t *task) {
-	for _, w := range s.blames[t] {
-		delete(w.blamed, t)
+// clearFailures drops the failures of an ended task.
+func (s *State) clearFailures(t *task) {
+	for _, w := range s.failedOn[t] {
+		delete(w.failedTasks, t)
 	}
-	delete(s.blames, t)
+	delete(s.failedOn, t)
 }
 
-// isolate quarantines a worker and takes its failures off the tasks. A task
-// that was parked for its failures is queued again.
-func (s *State) isolate(w *worker, o *Outcome) {
-	w.until = s.now + s.settings.Quarantine.Microseconds()
-	s.quarantine = append(s.quarantine, w)
+// quarantineWorker quarantines a worker and takes its failures off the tasks.
+// A task that was parked for its failures is queued again.
+func (s *State) quarantineWorker(w *worker, o *Outcome) {
+	w.quarantinedUntil = s.now + s.settings.Quarantine.Microseconds()
+	s.quarantined = append(s.quarantined, w)
 	if w.owner != nil {
-		w.owner.shape(w.capacity, -1)
+		w.owner.countCapacity(w.capacity, -1)
 	}
-	blamed := make([]*task, 0, len(w.blamed))
-	for t := range w.blamed {
+	blamed := make([]*task, 0, len(w.failedTasks))
+	for t := range w.failedTasks {
 		blamed = append(blamed, t)
 	}
 	slices.SortFunc(blamed, func(a, b *task) int { return cmp.Compare(a.serial, b.serial) })
 	for _, t := range blamed {
-		s.absolve(w, t, o)
+		s.removeFailure(w, t, o)
 	}
-	w.blamed = nil
+	w.failedTasks = nil
 }
 
-func (s *State) absolve(w *worker, t *task, o *Outcome) {
-	exhausted := len(s.blames[t]) >= maxBlames || t.failures >= maxFailures
+// removeFailure takes the failure on w off t and queues t again if it was
+// parked for its failures.
+func (s *State) removeFailure(w *worker, t *task, o *Outcome) {
+	exhausted := len(s.failedOn[t]) >= maxFailedWorkers || t.failures >= maxFailures
 	t.failures = 0
-	s.blames[t] = slices.DeleteFunc(s.blames[t], func(other *worker) bool { return other == w })
-	if len(s.blames[t]) == 0 {
-		delete(s.blames, t)
+	s.failedOn[t] = slices.DeleteFunc(s.failedOn[t], func(other *worker) bool { return other == w })
+	if len(s.failedOn[t]) == 0 {
+		delete(s.failedOn, t)
 	}
 	next, err := taskChart.Next(t.state, eventAbsolve)
 	if !exhausted || err != nil {
 		return
 	}
-	s.move(t, next, nil)
-	o.change(t)
+	s.transition(t, next, nil)
+	o.addChanged(t)
 }
 
-// release ends a worker's quarantine.
-func (s *State) release(w *worker) {
-	if !w.quarantined() {
+// endQuarantine puts a quarantined worker back into service.
+func (s *State) endQuarantine(w *worker) {
+	if !w.isQuarantined() {
 		return
 	}
-	w.until = 0
+	w.quarantinedUntil = 0
 	if w.owner != nil {
-		w.owner.shape(w.capacity, 1)
+		w.owner.countCapacity(w.capacity, 1)
 	}
-	s.quarantine = slices.DeleteFunc(s.quarantine, func(other *worker) bool { return other == w })
+	s.quarantined = slices.DeleteFunc(s.quarantined, func(other *worker) bool { return other == w })
 }
--- a/zone/claim.go
+++ b/zone/claim.go
@@ -2,29 +2,29 @@
 
 import "github.com/dogwoodladder/dogwoodladder/record"
 
-// claim moves queued tasks into the writer's escrow.
+// applyClaim moves queued tasks into the writer's escrow.
 //
-// What goes wrong: two instances claim the same task, or the last of a
-// group's share, at the same time. One would notice a task run twice or a
-// group above its limit. Only the state at the claim's own offset counts, so
-// of two claims the one with the lower offset wins at every instance.
-func (s *State) claim(by *run, body *record.Claim, o *Outcome) {
+// Two instances may applyClaim the same task, or the last of a group's share, at
+// the same time; accepting both would run a task twice or take the group above
+// its limit. Claims are checked against the state at their own offset, so every
+// instance accepts the applyClaim with the lower offset.
+func (s *State) applyClaim(writer *incarnation, body *record.Claim, o *Outcome) {
 	taken := 0
 	for _, id := range body.Tasks {
 		t := s.tasks[id]
-		if reason := s.claimable(by, t); reason != None {
+		if reason := s.checkClaim(writer, t); reason != None {
 			o.refuse(id, reason)
 			continue
 		}
-		next, _ := taskChart.Next(t.state, eventClaim) // claimable looked
-		s.move(t, next, by)
-		o.change(t)
+		next, _ := taskChart.Next(t.state, eventClaim) // checkClaim has tested the event
+		s.transition(t, next, writer)
+		o.addChanged(t)
 		taken++
 	}
 	o.voidIfRefused(taken)
 }
 
-func (s *State) claimable(by *run, t *task) Reason {
+func (s *State) checkClaim(writer *incarnation, t *task) Reason {
 	if t == nil {
 		return UnknownTask
 	}
@@ -34,50 +34,51 @@
 	if !t.group.Used.Add(t.need).Fits(t.group.Limit) {
 		return OverShare
 	}
-	if !by.fits(t.need) {
+	if !writer.fits(t.need) {
 		return NoFittingWorker
 	}
-	if !by.used.Add(t.need).Fits(by.capacity) {
+	if !writer.used.Add(t.need).Fits(writer.capacity) {
 		return OverCapacity
 	}
 	return None
 }
 
-// giveBack queues escrowed tasks that weren't started; their attempt stays.
+// applyReturn queues escrowed tasks that weren't started; their attempt
+// number stays the same.
 //
-// What goes wrong: an instance gives a task back again after it was claimed
-// by another, started, and came back with a worker that was taken over. One
-// would notice the attempt queued while it runs. An attempt that was found on
-// a worker was started, so giving it back is void.
-func (s *State) giveBack(by *run, body *record.Return, o *Outcome) {
+// An attempt that an Own record found on a worker was started, so returning it
+// is refused. Otherwise a repeated Return could queue an attempt while it runs:
+// another instance has claimed and started it since, and a takeover of its
+// worker has brought it back to the first instance.
+func (s *State) applyReturn(writer *incarnation, body *record.Return, o *Outcome) {
 	taken := 0
 	for _, id := range body.Tasks {
 		t := s.tasks[id]
-		reason := s.heldBy(by, t)
-		if reason == None && t.found {
+		reason := s.checkOwner(writer, t)
+		if reason == None && t.foundOnWorker {
 			reason = Started
 		}
 		if reason != None {
 			o.refuse(id, reason)
 			continue
 		}
-		next, _ := taskChart.Next(t.state, eventRestore) // every task in an escrow takes it
-		s.move(t, next, nil)
-		o.change(t)
+		next, _ := taskChart.Next(t.state, eventRestore) // valid in every escrow state
+		s.transition(t, next, nil)
+		o.addChanged(t)
 		taken++
 	}
 	o.voidIfRefused(taken)
 }
 
-// heldBy returns None when t is in the escrow of by.
-func (s *State) heldBy(by *run, t *task) Reason {
+// checkOwner returns None if t is in the escrow of the given incarnation.
+func (s *State) checkOwner(writer *incarnation, t *task) Reason {
 	if t == nil {
 		return UnknownTask
 	}
-	if ended(t.state) {
+	if isEnded(t.state) {
 		return AlreadyEnded
 	}
-	if t.owner != by {
+	if t.owner != writer {
 		return NotOwner
 	}
 	return None
--- a/zone/group.go
+++ b/zone/group.go
@@ -10,7 +10,7 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Group is a copy of what is known of a group.
+// Group is a copy of the limit, usage and counters of a group.
 type Group struct {
 	Limit     resource.Vector `cbor:"1,keyasint"`
 	Used      resource.Vector `cbor:"-"`          // needs of escrowed tasks
@@ -20,36 +20,37 @@
 	Submitted uint64          `cbor:"2,keyasint"` // tasks since the group is known
 	Done      uint64          `cbor:"3,keyasint"` // tasks since the group is known
 	Cancelled uint64          `cbor:"4,keyasint"` // tasks since the group is known
-	Evicted   uint64          `cbor:"5,keyasint"` // attempts ended without blame, recoveries included
+	Evicted   uint64          `cbor:"5,keyasint"` // attempts that ended without a failure, recoveries included
 	Failed    uint64          `cbor:"6,keyasint"` // attempts
 }
 
 // maxGroups bounds the groups of one Limits record.
 const maxGroups = 1024
 
-// group is the folded form of a group. It is known while it has a limit or
+// group is the internal state of a group. It is kept while it has a limit or
 // a task, ended ones included.
 type group struct {
 	Group
-	name    string
-	limited bool
-	tasks   int
+	name      string
+	hasLimit  bool
+	taskCount int
 }
 
-// count adds n tasks in a state, and their need where it is escrowed.
-func (g *group) count(state chart.State, need resource.Vector, n int) {
+// addTasks adds n to the counter of a task state, and their need to Used if
+// the state belongs to an escrow.
+func (g *group) addTasks(state chart.State, need resource.Vector, n int) {
 	switch {
 	case state == stateQueued:
 		g.Queued += n
 	case state == stateParked:
 		g.Parked += n
-	case inEscrow(state):
+	case isInEscrow(state):
 		g.Escrowed += n
 		g.Used = g.Used.Add(need.Scale(int64(n)))
 	}
 }
 
-// Group returns a group, and the zero Group when it is unknown.
+// Group returns the named group, or the zero Group if it is unknown.
 func (s *State) Group(name string) Group {
 	g := s.groups[name]
 	if g == nil {
@@ -74,8 +75,8 @@
 	return s.revision
 }
 
-func (s *State) limit(body *record.Limits, o *Outcome) {
-	if !validLimits(body) {
+func (s *State) applyLimits(body *record.Limits, o *Outcome) {
+	if !isValidLimits(body) {
 		o.void(Malformed, "limits")
 		return
 	}
@@ -86,30 +87,30 @@
 	s.revision = body.Revision
 	for _, g := range s.groups {
 		g.Limit = resource.Vector{}
-		g.limited = false
+		g.hasLimit = false
 	}
 	for name, limit := range body.Groups {
-		g := s.group(name)
+		g := s.ensureGroup(name)
 		g.Limit = limit
-		g.limited = true
+		g.hasLimit = true
 	}
-	maps.DeleteFunc(s.groups, func(_ string, g *group) bool { return g.unused() })
+	maps.DeleteFunc(s.groups, func(_ string, g *group) bool { return g.isUnused() })
 }
 
-func validLimits(body *record.Limits) bool {
+func isValidLimits(body *record.Limits) bool {
 	if len(body.Groups) > maxGroups {
 		return false
 	}
 	for name, limit := range body.Groups {
-		if !validName(name) || limit.IsNegative() {
+		if !isValidName(name) || limit.IsNegative() {
 			return false
 		}
 	}
 	return true
 }
 
-// group returns the group of a name, made when it is unknown.
-func (s *State) group(name string) *group {
+// ensureGroup returns the named ensureGroup and creates it if it is unknown.
+func (s *State) ensureGroup(name string) *group {
 	g := s.groups[name]
 	if g == nil {
 		g = &group{name: name}
@@ -118,6 +119,6 @@
 	return g
 }
 
-func (g *group) unused() bool {
-	return !g.limited && g.tasks == 0
+func (g *group) isUnused() bool {
+	return !g.hasLimit && g.taskCount == 0
 }
--- a/zone/listing.go
+++ b/zone/listing.go
@@ -8,12 +8,12 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// Owners returns the runs that aren't fenced and hold a worker or an escrowed
-// task, sorted.
+// Owners returns the incarnations that aren't fenced and own a worker or an
+// escrowed task, sorted by ID and incarnation.
 func (s *State) Owners() iter.Seq[record.Writer] {
 	var owners []record.Writer
 	for _, i := range s.instances {
-		for _, r := range i.runs {
+		for _, r := range i.incarnations {
 			if !r.fenced && (len(r.workers) > 0 || !r.used.IsZero()) {
 				owners = append(owners, r.writer)
 			}
@@ -27,20 +27,20 @@
 
 // Active returns the tasks that haven't ended, sorted by ID.
 func (s *State) Active() iter.Seq[Task] {
-	return s.listed(func(t Task) bool { return t.State != Done && t.State != Cancelled })
+	return s.tasksWhere(func(t Task) bool { return t.State != Done && t.State != Cancelled })
 }
 
-// Declared returns the declared tasks that are remembered, sorted by ID.
+// Declared returns the declared tasks, ended ones included, sorted by ID.
 func (s *State) Declared() iter.Seq[Task] {
-	return s.listed(func(t Task) bool { return t.Declared })
+	return s.tasksWhere(func(t Task) bool { return t.Declared })
 }
 
 // Parked returns the parked tasks, sorted by ID.
 func (s *State) Parked() iter.Seq[Task] {
-	return s.listed(func(t Task) bool { return t.State == Parked })
+	return s.tasksWhere(func(t Task) bool { return t.State == Parked })
 }
 
-func (s *State) listed(want func(Task) bool) iter.Seq[Task] {
+func (s *State) tasksWhere(want func(Task) bool) iter.Seq[Task] {
 	var tasks []Task
 	for _, t := range s.tasks {
 		if v := s.view(t); want(v) {
--- a/zone/model_test.go
+++ b/zone/model_test.go
@@ -16,7 +16,7 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// TestMain fixes the seed, so that every run of the tests gives one verdict.
+// TestMain fixes the seed, so that every run of the tests has the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "20261202", "rapid.checks": "600", "rapid.steps": "300", "rapid.nofailfile": "true",
@@ -30,11 +30,11 @@
 
 // The bounds of the modelled protocol, in seconds.
 const (
-	leaseTTL  = 6  // a worker's lease
-	taskTTL   = 10 // a batch task's lease on its worker
-	isolation = 15 // how long an owner extends tasks' leases after its last read of the log's tail
-	transit   = 3  // after which a message isn't accepted any more
-	outwait   = isolation + taskTTL + transit + 1
+	leaseTTL   = 6                                 // a worker's lease
+	taskTTL    = 10                                // a batch task's lease on its worker
+	isolation  = 15                                // how long an owner extends tasks' leases after its last read of the log's tail
+	transit    = 3                                 // age above which a message is no longer accepted
+	lapseDelay = isolation + taskTTL + transit + 1 // after a fence, until no task of the fenced owner can run
 )
 
 var unit = resource.Vector{Processors: 1000, Memory: 1024}
@@ -45,7 +45,7 @@
 	record record.Record
 }
 
-// server is a worker as it is, whatever the stream says of it.
+// server is the actual state of a worker, independent of the stream.
 type server struct {
 	id      string
 	epoch   uint64
@@ -59,24 +59,24 @@
 	lease   int
 }
 
-// process is one run of an entry instance. It decides by its own fold, which
-// may lag, and by what it remembers.
+// process is one incarnation of an entry instance. It decides by its own copy
+// of the state, which may lag, and by its own memory.
 type process struct {
-	w        *world
-	writer   record.Writer
-	sequence uint64
-	state    *State
-	readAt   int
-	fencesAt map[record.Writer]int
-	leases   map[string]uint64          // epoch by worker
-	owned    map[string]uint64          // sequence of the last Own by worker
-	load     map[string]map[string]bool // tasks by worker
-	placed   map[record.Attempt]place
-	claimed  uint64 // sequence of its last claim
-}
-
-type place struct {
-	worker   string // empty when a record under way gives the task back
+	model         *model
+	writer        record.Writer
+	sequence      uint64
+	state         *State
+	tailReadAt    int
+	fenceSeenAt   map[record.Writer]int
+	leases        map[string]uint64          // epoch by worker
+	ownSequences  map[string]uint64          // sequence of the last Own by worker
+	load          map[string]map[string]bool // tasks by worker
+	placements    map[record.Attempt]placement
+	claimSequence uint64 // sequence of its last claim
+}
+
+type placement struct {
+	worker   string // empty while a record that returns or evicts the task is pending
 	sentAt   int
 	sequence uint64 // of that record
 }
@@ -89,38 +89,38 @@
 	sentAt int
 }
 
-// link is the way from an instance to a worker or to the log.
+// link is the network path from an instance to a worker or to the log.
 type link struct{ from, to string }
 
-type world struct {
+type model struct {
 	now       int
-	cut       map[link]bool
+	cutLinks  map[link]bool
 	log       []entry
 	state     *State // up to the end of the log
 	snapshots [][]byte
-	pending   []record.Record // appends under way, of living processes and dead ones
+	pending   []record.Record // appends in flight, of live and dead processes
 	starts    []message
 	servers   []*server
 	processes []*process
 	submitted int
-	ends      map[record.Attempt]int // effective ends of each attempt
-	done      map[string]int
+	endCount  map[record.Attempt]int // effective ends of each attempt
+	doneCount map[string]int
 	trace     strings.Builder
-	seen      map[string]int // what the run came to, for the test's own coverage
+	coverage  map[string]int // events that occurred, to check the coverage of the test
 }
 
-func newWorld() *world {
-	w := &world{now: 1000, cut: map[link]bool{}, ends: map[record.Attempt]int{}, done: map[string]int{}, seen: map[string]int{}}
-	w.state = w.empty()
+func newModel() *model {
+	w := &model{now: 1000, cutLinks: map[link]bool{}, endCount: map[record.Attempt]int{}, doneCount: map[string]int{}, coverage: map[string]int{}}
+	w.state = w.newState()
 	for i := range 3 {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("w", i), tasks: map[string]*execution{}})
-		w.processes = append(w.processes, w.boot(record.Writer{ID: string(rune('a' + i)), Incarnation: 1}, nil))
+		w.processes = append(w.processes, w.newProcess(record.Writer{ID: string(rune('a' + i)), Incarnation: 1}, nil))
 	}
 	return w
 }
 
-// begin gives the group a limit and tasks, and each instance a worker.
-func (w *world) begin(t *rapid.T) {
+// setUp gives the group a limit and tasks, and each instance a worker.
+func (w *model) setUp(t *rapid.T) {
 	limits := &record.Limits{Revision: 1, Groups: map[string]resource.Vector{"g": unit.Scale(4)}}
 	w.processes[0].send(record.Record{Limits: limits})
 	for i, p := range w.processes {
@@ -134,20 +134,20 @@
 	w.pending = nil
 }
 
-func (w *world) submit(p *process) {
+func (w *model) submit(p *process) {
 	w.submitted++
 	task := record.Task{ID: fmt.Sprint("t", w.submitted), Job: fmt.Sprint("j", w.submitted/2), Group: "g", Need: unit}
 	p.send(record.Record{Submit: &record.Submit{Tasks: []record.Task{task}}})
 }
 
-func (w *world) empty() *State {
+func (w *model) newState() *State {
 	return New("z", WithRetention(5*time.Minute), WithQuarantine(20*time.Second), WithMaxEnded(6))
 }
 
-func (w *world) boot(writer record.Writer, snapshot []byte) *process {
+func (w *model) newProcess(writer record.Writer, snapshot []byte) *process {
 	p := &process{
-		w: w, writer: writer, state: w.empty(), readAt: w.now - isolation - 1, fencesAt: map[record.Writer]int{},
-		leases: map[string]uint64{}, owned: map[string]uint64{}, load: map[string]map[string]bool{}, placed: map[record.Attempt]place{},
+		model: w, writer: writer, state: w.newState(), tailReadAt: w.now - isolation - 1, fenceSeenAt: map[record.Writer]int{},
+		leases: map[string]uint64{}, ownSequences: map[string]uint64{}, load: map[string]map[string]bool{}, placements: map[record.Attempt]placement{},
 	}
 	if snapshot != nil {
 		p.state = must(Restore(snapshot))
@@ -155,8 +155,8 @@
 	return p
 }
 
-// sorted returns the keys of m in one order, so that every run of the test
-// does the same.
+// sorted returns the sorted keys of m, so that every run of the test is the
+// same.
 func sorted[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
@@ -168,15 +168,15 @@
 	return v
 }
 
-// append lets the log accept a record, and checks what it did.
-func (w *world) append(t *rapid.T, r record.Record) {
+// append adds a record to the log, applies it and checks the outcome.
+func (w *model) append(t *rapid.T, r record.Record) {
 	r = must(record.Decode(must(record.Encode(r))))
 	e := entry{at: time.Unix(int64(w.now), 0), record: r}
 	used := w.state.Group("g")
 	o := w.state.Apply(uint64(len(w.log)), e.at, r)
 	w.log = append(w.log, e)
 	fmt.Fprintln(&w.trace, describe(len(w.log)-1, time.Duration(w.now)*time.Second, r, o))
-	w.note(r, o)
+	w.countCoverage(r, o)
 	if g := w.state.Group("g"); g.Used.Processors > used.Used.Processors && !g.Used.Fits(g.Limit) {
 		t.Fatalf("group above its limit: %+v after %+v", g, r)
 	}
@@ -186,24 +186,24 @@
 	}
 }
 
-// note counts what the model came to, so that the test can tell when it
-// stops reaching what it is there for.
-func (w *world) note(r record.Record, o Outcome) {
-	w.seen[fmt.Sprint(o.Effect, " ", o.Reason)]++
+// countCoverage counts outcomes and events, so that the test fails if the model
+// no longer reaches one that it has to exercise.
+func (w *model) countCoverage(r record.Record, o Outcome) {
+	w.coverage[fmt.Sprint(o.Effect, " ", o.Reason)]++
 	for what, is := range map[string]bool{
 		"done": r.Done != nil, "evicted": r.Evicted != nil, "failed": r.Failed != nil, "returned": r.Return != nil,
 		"fenced": r.Fence != nil, "lapsed": r.Lapse != nil, "cancelled": r.Cancel != nil, "handed over": r.Own != nil && len(o.Changed) > 0,
 	} {
 		if is && o.Effect == Applied {
-			w.seen[what]++
+			w.coverage[what]++
 		}
 	}
 	if r.Lapse != nil && len(o.Changed) > 0 {
-		w.seen["recovered after a lapse"]++
+		w.coverage["recovered after a lapse"]++
 	}
 }
 
-func (w *world) checkEnds(t *rapid.T, r record.Record, o Outcome) {
+func (w *model) checkEnds(t *rapid.T, r record.Record, o Outcome) {
 	if o.Effect != Applied {
 		return
 	}
@@ -211,7 +211,7 @@
 	switch {
 	case r.Done != nil:
 		a = r.Done.Attempt
-		w.done[a.Task]++
+		w.doneCount[a.Task]++
 	case r.Evicted != nil:
 		a = r.Evicted.Attempt
 	case r.Failed != nil:
@@ -219,86 +219,88 @@
 	default:
 		return
 	}
-	w.ends[a]++
-	if w.ends[a] > 1 || w.done[a.Task] > 1 {
-		t.Fatalf("attempt %+v ended %d times, task done %d times", a, w.ends[a], w.done[a.Task])
+	w.endCount[a]++
+	if w.endCount[a] > 1 || w.doneCount[a.Task] > 1 {
+		t.Fatalf("attempt %+v ended %d times, task done %d times", a, w.endCount[a], w.doneCount[a.Task])
 	}
 }
 
-// send puts a record under way to the log.
+// send starts an append to the log.
 func (p *process) send(r record.Record) {
 	p.sequence++
 	r.Writer = p.writer
 	r.Sequence = p.sequence
-	p.w.pending = append(p.w.pending, r)
+	p.model.pending = append(p.model.pending, r)
 }
 
-func (p *process) reaches(to string) bool {
-	return !p.w.cut[link{p.writer.ID, to}]
+func (p *process) canReach(to string) bool {
+	return !p.model.cutLinks[link{p.writer.ID, to}]
 }
 
 func (p *process) read(limit int) {
-	if !p.reaches("log") {
+	if !p.canReach("log") {
 		return
 	}
-	for limit > 0 && p.state.Next() < uint64(len(p.w.log)) {
-		e := p.w.log[p.state.Next()]
+	for limit > 0 && p.state.Next() < uint64(len(p.model.log)) {
+		e := p.model.log[p.state.Next()]
 		p.state.Apply(p.state.Next(), e.at, e.record)
 		limit--
 	}
-	if p.state.Next() == uint64(len(p.w.log)) {
-		p.readAt = p.w.now
+	if p.state.Next() == uint64(len(p.model.log)) {
+		p.tailReadAt = p.model.now
 	}
 	for r := range p.state.Recoveries() {
-		if _, ok := p.fencesAt[r.Instance]; !ok {
-			p.fencesAt[r.Instance] = p.w.now
+		if _, ok := p.fenceSeenAt[r.Instance]; !ok {
+			p.fenceSeenAt[r.Instance] = p.model.now
 		}
 	}
 	decided := p.state.Sequence(p.writer)
-	for a, at := range p.placed {
+	for a, at := range p.placements {
 		task, _ := p.state.Task(a.Task)
-		if task.Attempt != a.Number || !p.owns(task) || at.worker == "" && at.sequence <= decided {
-			delete(p.placed, a)
+		if task.Attempt != a.Number || !p.ownsTask(task) || at.worker == "" && at.sequence <= decided {
+			delete(p.placements, a)
 		}
 	}
 }
 
-func (p *process) owns(t Task) bool {
+func (p *process) ownsTask(t Task) bool {
 	return t.State == Escrowed && t.Owner == p.writer.ID && t.Incarnation == p.writer.Incarnation
 }
 
 // mayAct reports whether p may start tasks or extend their leases on s: it
-// isn't fenced, has read the tail lately and has read its ownership back.
+// isn't fenced, has read the tail of the log recently and has read its own
+// ownership back.
 func (p *process) mayAct(s *server) bool {
-	fresh := p.w.now <= p.readAt+isolation && !p.state.Fenced(p.writer)
-	return fresh && p.recorded(s)
+	fresh := p.model.now <= p.tailReadAt+isolation && !p.state.Fenced(p.writer)
+	return fresh && p.isRecordedOwner(s)
 }
 
-// recorded reports whether the owner on record is p at its present epoch.
-func (p *process) recorded(s *server) bool {
+// isRecordedOwner reports whether p is the isRecordedOwner owner of s at its current
+// epoch.
+func (p *process) isRecordedOwner(s *server) bool {
 	worker, _ := p.state.Worker(s.id)
-	return p.ownerOf(s) && worker.Epoch == p.leases[s.id]
+	return p.ownsAnyEpoch(s) && worker.Epoch == p.leases[s.id]
 }
 
-// ownerOf reports whether the owner on record is p at whatever epoch.
-func (p *process) ownerOf(s *server) bool {
+// ownsAnyEpoch reports whether p is the recorded owner of s at any epoch.
+func (p *process) ownsAnyEpoch(s *server) bool {
 	worker, _ := p.state.Worker(s.id)
 	return worker.Owner == p.writer.ID && worker.Incarnation == p.writer.Incarnation
 }
 
-func (p *process) holds(s *server) bool {
-	return p.reaches(s.id) && p.leases[s.id] == s.epoch && p.w.now < s.expires
+func (p *process) holdsLease(s *server) bool {
+	return p.canReach(s.id) && p.leases[s.id] == s.epoch && p.model.now < s.expires
 }
 
 func (p *process) acquire(s *server) {
-	if p.reaches(s.id) && p.w.now >= s.expires && !p.state.Fenced(p.writer) {
-		p.granted(s)
+	if p.canReach(s.id) && p.model.now >= s.expires && !p.state.Fenced(p.writer) {
+		p.takeLease(s)
 	}
 }
 
-func (p *process) granted(s *server) {
+func (p *process) takeLease(s *server) {
 	s.epoch++
-	s.expires = p.w.now + leaseTTL
+	s.expires = p.model.now + leaseTTL
 	p.leases[s.id] = s.epoch
 	p.load[s.id] = map[string]bool{}
 	own := &record.Own{Worker: s.id, Epoch: s.epoch, Capacity: unit.Scale(2)}
@@ -306,27 +308,28 @@
 		p.load[s.id][id] = true
 		own.Held = append(own.Held, record.Attempt{Task: id, Number: s.tasks[id].attempt})
 	}
-	p.owned[s.id] = p.sequence + 1
+	p.ownSequences[s.id] = p.sequence + 1
 	p.send(record.Record{Own: own})
 }
 
 func (p *process) renew(s *server) {
-	overtaken := !p.recorded(s) && p.state.Sequence(p.writer) >= p.owned[s.id]
-	if !p.holds(s) || overtaken {
+	overtaken := !p.isRecordedOwner(s) && p.state.Sequence(p.writer) >= p.ownSequences[s.id]
+	if !p.holdsLease(s) || overtaken {
 		return
 	}
-	s.expires = p.w.now + leaseTTL
+	s.expires = p.model.now + leaseTTL
 	if !p.mayAct(s) {
 		return
 	}
 	for _, x := range s.tasks {
-		x.lease = p.w.now + taskTTL
+		x.lease = p.model.now + taskTTL
 	}
 }
 
-// report tells the log how attempts on s ended, and clears what is over.
+// report appends how attempts on s ended, and removes those that the log knows
+// to be over.
 func (p *process) report(s *server) {
-	if !p.holds(s) || !p.mayAct(s) {
+	if !p.holdsLease(s) || !p.mayAct(s) {
 		return
 	}
 	for _, id := range sorted(s.tasks) {
@@ -338,15 +341,15 @@
 			delete(p.load[s.id], id)
 			continue
 		}
-		if task.Attempt == x.attempt && p.owns(task) {
+		if task.Attempt == x.attempt && p.ownsTask(task) {
 			p.reportEnd(s, id, x, task.Cancelling)
 		}
 	}
 	for task := range p.state.EscrowOf(p.writer) {
 		a := record.Attempt{Task: task.ID, Number: task.Attempt}
-		at, ok := p.placed[a]
-		if ok && at.worker == s.id && s.tasks[a.Task] == nil && p.w.now > at.sentAt+transit {
-			p.giveBack(a) // it never arrived
+		at, ok := p.placements[a]
+		if ok && at.worker == s.id && s.tasks[a.Task] == nil && p.model.now > at.sentAt+transit {
+			p.returnTask(a) // the start never arrived
 			delete(p.load[s.id], a.Task)
 		}
 	}
@@ -367,24 +370,24 @@
 	}
 }
 
-func (p *process) giveBack(a record.Attempt) {
-	p.placed[a] = place{sequence: p.sequence + 1}
+func (p *process) returnTask(a record.Attempt) {
+	p.placements[a] = placement{sequence: p.sequence + 1}
 	p.send(record.Record{Return: &record.Return{Tasks: []string{a.Task}}})
 }
 
-// clear ends the attempts of escrowed tasks that were on a worker which
-// another owner has taken without them, and gives back what it won't start.
-func (p *process) clear() {
-	owns := slices.ContainsFunc(p.w.servers, p.ownerOf)
+// clearEscrow evicts attempts of escrowed tasks whose worker another owner has
+// taken over without them, and returns tasks that p won't start.
+func (p *process) clearEscrow() {
+	owns := slices.ContainsFunc(p.model.servers, p.ownsAnyEpoch)
 	for task := range p.state.EscrowOf(p.writer) {
 		a := record.Attempt{Task: task.ID, Number: task.Attempt}
-		at, ok := p.placed[a]
+		at, ok := p.placements[a]
 		worker, _ := p.state.Worker(at.worker)
 		switch {
 		case !ok && (task.Cancelling || !owns) && !p.isHeld(task.ID):
-			p.giveBack(a)
+			p.returnTask(a)
 		case ok && worker.Epoch > p.leases[at.worker]:
-			p.placed[a] = place{sequence: p.sequence + 1}
+			p.placements[a] = placement{sequence: p.sequence + 1}
 			p.send(record.Record{Evicted: &record.Evicted{Attempt: a, Worker: at.worker}})
 		}
 	}
@@ -398,8 +401,8 @@
 			ids = append(ids, task.ID)
 		}
 	}
-	if len(ids) > 0 && p.state.Sequence(p.writer) >= p.claimed {
-		p.claimed = p.sequence + 1
+	if len(ids) > 0 && p.state.Sequence(p.writer) >= p.claimSequence {
+		p.claimSequence = p.sequence + 1
 		p.send(record.Record{Claim: &record.Claim{Tasks: ids}})
 	}
 }
@@ -407,43 +410,43 @@
 func (p *process) start() {
 	for task := range p.state.EscrowOf(p.writer) {
 		a := record.Attempt{Task: task.ID, Number: task.Attempt}
-		if _, ok := p.placed[a]; ok || task.Cancelling || p.isHeld(task.ID) {
+		if _, ok := p.placements[a]; ok || task.Cancelling || p.isHeld(task.ID) {
 			continue
 		}
-		for _, s := range p.w.servers {
+		for _, s := range p.model.servers {
 			if p.mayAct(s) && len(p.load[s.id]) < 2 {
-				p.placed[a] = place{worker: s.id, sentAt: p.w.now}
+				p.placements[a] = placement{worker: s.id, sentAt: p.model.now}
 				p.load[s.id][task.ID] = true
-				p.w.starts = append(p.w.starts, message{p, s, p.leases[s.id], a, p.w.now})
+				p.model.starts = append(p.model.starts, message{p, s, p.leases[s.id], a, p.model.now})
 				break
 			}
 		}
 	}
 }
 
-// isHeld reports whether a worker was found to hold the task already. It does
-// so also while a new epoch of that worker isn't on record yet.
+// isHeld reports whether a worker of p already holds the task, also while the
+// new epoch of that worker isn't recorded yet.
 func (p *process) isHeld(task string) bool {
-	return slices.ContainsFunc(p.w.servers, func(s *server) bool { return p.load[s.id][task] && p.ownerOf(s) })
+	return slices.ContainsFunc(p.model.servers, func(s *server) bool { return p.load[s.id][task] && p.ownsAnyEpoch(s) })
 }
 
-// turn is what a process does when nothing hinders it.
-func (p *process) turn() {
-	p.read(len(p.w.log))
+// step runs all periodic work of a process once.
+func (p *process) step() {
+	p.read(len(p.model.log))
 	if p.state.Fenced(p.writer) {
-		p.w.restart(p)
+		p.model.restart(p)
 		return
 	}
-	for _, s := range p.w.servers {
+	for _, s := range p.model.servers {
 		p.renew(s)
 		p.report(s)
 		worker, _ := p.state.Worker(s.id)
 		owner := record.Writer{ID: worker.Owner, Incarnation: worker.Incarnation}
-		if p.state.Fenced(owner) || worker.Lapsed || owner == p.writer && p.w.now >= s.expires {
+		if p.state.Fenced(owner) || worker.Lapsed || owner == p.writer && p.model.now >= s.expires {
 			p.acquire(s)
 		}
 	}
-	p.clear()
+	p.clearEscrow()
 	p.lapse()
 	p.claim()
 	p.start()
@@ -453,43 +456,43 @@
 	for r := range p.state.Recoveries() {
 		for _, id := range r.Pending {
 			worker, _ := p.state.Worker(id)
-			if at, ok := p.fencesAt[r.Instance]; ok && p.w.now > at+outwait {
+			if at, ok := p.fenceSeenAt[r.Instance]; ok && p.model.now > at+lapseDelay {
 				p.send(record.Record{Lapse: &record.Lapse{Worker: id, Epoch: worker.Epoch}})
 			}
 		}
 	}
 }
 
-// restart replaces p by its next incarnation. What p sent stays under way.
-func (w *world) restart(p *process) {
+// restart replaces p by its next incarnation. Messages of p stay in flight.
+func (w *model) restart(p *process) {
 	var snapshot []byte
 	if len(w.snapshots) > 0 {
 		snapshot = w.snapshots[len(w.snapshots)-1]
 	}
 	writer := record.Writer{ID: p.writer.ID, Incarnation: p.writer.Incarnation + 1}
-	next := w.boot(writer, snapshot)
-	next.send(record.Record{Marker: &record.Marker{}}) // fences the run before
+	next := w.newProcess(writer, snapshot)
+	next.send(record.Record{Marker: &record.Marker{}}) // fences the previous incarnation
 	w.processes[slices.Index(w.processes, p)] = next
 }
 
-// receive lets a worker take a start, unless its epoch check forbids it.
-func (w *world) receive(m message, answered bool) {
+// receiveStart starts a task on a worker unless the worker's checks refuse it.
+func (w *model) receiveStart(m message, answered bool) {
 	s := m.worker
-	if m.from.reaches(s.id) && w.now <= m.sentAt+transit && m.epoch == s.epoch && w.now < s.expires && s.tasks[m.task.Task] == nil {
+	if m.from.canReach(s.id) && w.now <= m.sentAt+transit && m.epoch == s.epoch && w.now < s.expires && s.tasks[m.task.Task] == nil {
 		s.tasks[m.task.Task] = &execution{attempt: m.task.Number, state: "running", lease: w.now + taskTTL}
-		w.seen["started"]++
+		w.coverage["started"]++
 		fmt.Fprintf(&w.trace, "  %ds %s starts %v on %s, sent at %ds\n", w.now, m.from.writer.ID, m.task, s.id, m.sentAt)
 		return
 	}
-	// A task that was given back and claimed again has the same attempt, so the
-	// answer must belong to this very start.
-	if answered && m.epoch == s.epoch && m.from.placed[m.task] == (place{worker: s.id, sentAt: m.sentAt}) {
-		delete(m.from.placed, m.task)
+	// A task that was returned and claimed again has the same attempt number, so
+	// the refusal must be matched with this start.
+	if answered && m.epoch == s.epoch && m.from.placements[m.task] == (placement{worker: s.id, sentAt: m.sentAt}) {
+		delete(m.from.placements, m.task)
 		delete(m.from.load[s.id], m.task.Task)
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *model) check(t *rapid.T) {
 	running := map[string]string{}
 	for _, s := range w.servers {
 		n := 0
@@ -510,14 +513,14 @@
 	checkSums(t, w.state)
 }
 
-// checkSums compares the sums that the fold keeps with sums over all tasks.
+// checkSums compares the running sums of the state with sums over all tasks.
 func checkSums(t *rapid.T, s *State) {
 	used := map[string]resource.Vector{}
 	queued := map[string]int{}
 	bytes := 0
 	for _, task := range s.tasks {
 		v := s.view(task)
-		bytes += task.size()
+		bytes += task.encodedSize()
 		if v.State == Escrowed {
 			used[v.Group] = used[v.Group].Add(v.Need)
 			used[v.Owner] = used[v.Owner].Add(v.Need)
@@ -533,7 +536,7 @@
 	}
 	for id, i := range s.instances {
 		var sum resource.Vector
-		for _, r := range i.runs {
+		for _, r := range i.incarnations {
 			sum = sum.Add(r.used)
 		}
 		if sum != used[id] {
@@ -546,9 +549,9 @@
 }
 
 // checkReplay replays the log from its start and from a snapshot.
-func (w *world) checkReplay(t *rapid.T) {
+func (w *model) checkReplay(t *rapid.T) {
 	want := string(must(w.state.Snapshot()))
-	starts := []*State{w.empty()}
+	starts := []*State{w.newState()}
 	if len(w.snapshots) > 0 {
 		starts = append(starts, must(Restore(rapid.SampledFrom(w.snapshots).Draw(t, "snapshot"))))
 	}
@@ -563,18 +566,19 @@
 	}
 }
 
-// island leaves a worker to one process, and that process without the log.
-func (w *world) island(alone *process, s *server) {
-	w.cut[link{alone.writer.ID, "log"}] = true
+// partition cuts a worker off from all processes but one, and that process off
+// from the log.
+func (w *model) partition(alone *process, s *server) {
+	w.cutLinks[link{alone.writer.ID, "log"}] = true
 	for _, p := range w.processes {
 		if p != alone {
-			w.cut[link{p.writer.ID, s.id}] = true
+			w.cutLinks[link{p.writer.ID, s.id}] = true
 		}
 	}
 }
 
-// pass lets time go on and the tasks' leases expire.
-func (w *world) pass(seconds int) {
+// advance moves the clock forward and expires the tasks' leases.
+func (w *model) advance(seconds int) {
 	w.now += seconds
 	for _, s := range w.servers {
 		for _, x := range s.tasks {
@@ -585,15 +589,15 @@
 	}
 }
 
-// calm lets every process act and the log accept what can reach it.
-func (w *world) calm(t *rapid.T) {
+// stepAll steps every process and delivers all appends that can reach the log.
+func (w *model) stepAll(t *rapid.T) {
 	for _, p := range w.processes {
-		p.turn()
+		p.step()
 	}
 	under := w.pending
 	w.pending = nil
 	for _, r := range under {
-		if w.cut[link{r.Writer.ID, "log"}] {
+		if w.cutLinks[link{r.Writer.ID, "log"}] {
 			w.pending = append(w.pending, r)
 			continue
 		}
@@ -601,15 +605,15 @@
 	}
 }
 
-// wait is seconds without a new fault.
-func (w *world) wait(t *rapid.T, seconds int, each func()) {
+// wait runs the model for some seconds without a new fault.
+func (w *model) wait(t *rapid.T, seconds int, each func()) {
 	for range seconds {
-		w.pass(1)
-		w.calm(t)
+		w.advance(1)
+		w.stepAll(t)
 		starts := w.starts
 		w.starts = nil
 		for _, m := range starts {
-			w.receive(m, true)
+			w.receiveStart(m, true)
 		}
 		w.check(t)
 		if each != nil {
@@ -618,9 +622,9 @@
 	}
 }
 
-// checkEnd stops the faults and checks that every task ends.
-func (w *world) checkEnd(t *rapid.T) {
-	clear(w.cut)
+// checkAllEnd stops the faults and checks that every task ends.
+func (w *model) checkAllEnd(t *rapid.T) {
+	clear(w.cutLinks)
 	w.wait(t, 120, func() {
 		for _, s := range w.servers {
 			for _, x := range s.tasks {
@@ -637,16 +641,16 @@
 	}
 }
 
-func (w *world) someone(t *rapid.T) *process {
+func (w *model) drawProcess(t *rapid.T) *process {
 	return rapid.SampledFrom(w.processes).Draw(t, "process")
 }
 
-func (w *world) server(t *rapid.T) *server {
+func (w *model) drawServer(t *rapid.T) *server {
 	return rapid.SampledFrom(w.servers).Draw(t, "worker")
 }
 
-// deliver lets the log accept records, now and then late or twice.
-func (w *world) deliver(t *rapid.T) {
+// deliver appends pending records to the log, some of them late or twice.
+func (w *model) deliver(t *rapid.T) {
 	for n := rapid.IntRange(1, 6).Draw(t, "records"); n > 0 && len(w.pending) > 0; n-- {
 		i := 0
 		if rapid.IntRange(0, 4).Draw(t, "late") == 0 {
@@ -660,90 +664,90 @@
 	}
 }
 
-// deliverStarts lets workers take starts in any order, and loses answers.
-func (w *world) deliverStarts(t *rapid.T) {
+// deliverStarts delivers starts to workers in any order and loses some answers.
+func (w *model) deliverStarts(t *rapid.T) {
 	for len(w.starts) > 0 && rapid.IntRange(0, 4).Draw(t, "more") > 0 {
 		i := rapid.IntRange(0, len(w.starts)-1).Draw(t, "index")
 		m := w.starts[i]
 		w.starts = slices.Delete(w.starts, i, i+1)
-		w.receive(m, rapid.Bool().Draw(t, "answered"))
+		w.receiveStart(m, rapid.Bool().Draw(t, "answered"))
 	}
 }
 
-// transfer hands a worker over, now and then by an owner that loses the log
-// with its last reports under way.
-func (w *world) transfer(t *rapid.T) {
-	p, q, s := w.someone(t), w.someone(t), w.server(t)
-	if p == q || !p.holds(s) || !q.reaches(s.id) || q.state.Fenced(q.writer) {
+// transfer hands a worker over, sometimes from an owner that loses its
+// connection to the log while its last reports are in flight.
+func (w *model) transfer(t *rapid.T) {
+	p, q, s := w.drawProcess(t), w.drawProcess(t), w.drawServer(t)
+	if p == q || !p.holdsLease(s) || !q.canReach(s.id) || q.state.Fenced(q.writer) {
 		return
 	}
 	if rapid.IntRange(0, 3).Draw(t, "cut") == 0 {
 		p.report(s)
-		w.cut[link{p.writer.ID, "log"}] = true
+		w.cutLinks[link{p.writer.ID, "log"}] = true
 	}
-	q.granted(s)
+	q.takeLease(s)
 }
 
-func (w *world) end(t *rapid.T) {
+func (w *model) endTasks(t *rapid.T) {
 	how := rapid.SampledFrom([]string{"done", "done", "done", "failed", "stopped"}).Draw(t, "end")
-	for _, x := range w.server(t).tasks {
+	for _, x := range w.drawServer(t).tasks {
 		if x.state == "running" {
 			x.state = how
 		}
 	}
 }
 
-func (w *world) cancel(t *rapid.T) {
+func (w *model) cancel(t *rapid.T) {
 	if rapid.IntRange(0, 5).Draw(t, "wave") == 0 {
 		job := fmt.Sprint("j", rapid.IntRange(0, w.submitted*4).Draw(t, "job"))
-		w.someone(t).send(record.Record{Cancel: &record.Cancel{Jobs: []string{job}}})
+		w.drawProcess(t).send(record.Record{Cancel: &record.Cancel{Jobs: []string{job}}})
 	}
 }
 
-func (w *world) limit(t *rapid.T) {
+func (w *model) limit(t *rapid.T) {
 	limit := unit.Scale(rapid.Int64Range(2, 6).Draw(t, "limit"))
 	body := &record.Limits{Revision: w.state.Revision() + 1, Groups: map[string]resource.Vector{"g": limit}}
-	w.someone(t).send(record.Record{Limits: body})
+	w.drawProcess(t).send(record.Record{Limits: body})
 }
 
-// actions returns what may happen next, faults included. What keeps the work
-// going is there several times, so that faults meet work.
-func (w *world) actions() map[string]func(*rapid.T) {
-	turn := func(t *rapid.T) { w.someone(t).turn() }
+// actions returns the possible actions, faults included. Actions that make
+// progress occur several times, so that faults hit running work.
+func (w *model) actions() map[string]func(*rapid.T) {
+	turn := func(t *rapid.T) { w.drawProcess(t).step() }
 	return map[string]func(*rapid.T){
-		"transfer": w.transfer, "transfer2": w.transfer, "end": w.end, "end2": w.end,
-		"calm": w.calm, "calm2": w.calm,
+		"transfer": w.transfer, "transfer2": w.transfer, "end": w.endTasks, "end2": w.endTasks,
+		"calm": w.stepAll, "calm2": w.stepAll,
 		"wait": func(t *rapid.T) { w.wait(t, rapid.IntRange(1, 40).Draw(t, "seconds"), nil) },
-		"heal": func(*rapid.T) { clear(w.cut) },
+		"heal": func(*rapid.T) { clear(w.cutLinks) },
 		"cut": func(t *rapid.T) {
 			to := rapid.SampledFrom([]string{"log", "log", "w0", "w1", "w2"}).Draw(t, "to")
-			w.cut[link{w.someone(t).writer.ID, to}] = true
+			w.cutLinks[link{w.drawProcess(t).writer.ID, to}] = true
 		},
-		"island": func(t *rapid.T) { w.island(w.someone(t), w.server(t)) },
+		"island": func(t *rapid.T) { w.partition(w.drawProcess(t), w.drawServer(t)) },
 		"turn":   turn, "turn2": turn, "turn3": turn, "turn4": turn, "receive": w.deliverStarts, "receive2": w.deliverStarts,
 		"deliver": w.deliver, "deliver2": w.deliver, "deliver3": w.deliver,
-		"acquire": func(t *rapid.T) { w.someone(t).acquire(w.server(t)) },
-		"renew":   func(t *rapid.T) { w.someone(t).renew(w.server(t)) },
-		"report":  func(t *rapid.T) { w.someone(t).report(w.server(t)) },
-		"read":    func(t *rapid.T) { w.someone(t).read(rapid.IntRange(1, 5).Draw(t, "records")) },
-		"claim":   func(t *rapid.T) { w.someone(t).claim() },
-		"start":   func(t *rapid.T) { w.someone(t).start() },
-		"lapse":   func(t *rapid.T) { w.someone(t).lapse() },
-		"expire":  func(t *rapid.T) { w.pass(rapid.SampledFrom([]int{1, 1, 2, 3, 7, 31}).Draw(t, "seconds")) },
+		"acquire": func(t *rapid.T) { w.drawProcess(t).acquire(w.drawServer(t)) },
+		"renew":   func(t *rapid.T) { w.drawProcess(t).renew(w.drawServer(t)) },
+		"report":  func(t *rapid.T) { w.drawProcess(t).report(w.drawServer(t)) },
+		"read":    func(t *rapid.T) { w.drawProcess(t).read(rapid.IntRange(1, 5).Draw(t, "records")) },
+		"claim":   func(t *rapid.T) { w.drawProcess(t).claim() },
+		"start":   func(t *rapid.T) { w.drawProcess(t).start() },
+		"lapse":   func(t *rapid.T) { w.drawProcess(t).lapse() },
+		"expire":  func(t *rapid.T) { w.advance(rapid.SampledFrom([]int{1, 1, 2, 3, 7, 31}).Draw(t, "seconds")) },
 		"fence": func(t *rapid.T) {
-			p, q := w.someone(t), w.someone(t)
+			p, q := w.drawProcess(t), w.drawProcess(t)
 			if p != q && rapid.IntRange(0, 2).Draw(t, "suspect") == 0 {
 				p.send(record.Record{Fence: &record.Fence{Instance: q.writer}})
 			}
 		},
 		"kill": func(t *rapid.T) {
 			if rapid.IntRange(0, 5).Draw(t, "kill") == 0 {
-				w.restart(w.someone(t))
+				w.restart(w.drawProcess(t))
 			}
 		},
 		"submit": func(t *rapid.T) {
-			if w.state.live() < 5 {
-				w.submit(w.someone(t))
+			if w.state.liveCount() < 5 {
+				w.submit(w.drawProcess(t))
 			}
 		},
 		"cancel": w.cancel, "limit": w.limit,
@@ -751,20 +755,19 @@
 	}
 }
 
-// Symptom: a task runs in two places, completes twice, or is resumed twice; a
-// worker or a group holds more than it may; two instances disagree.
-// Sequence: any mix of lease grants, handovers, pauses, restarts, fences,
-// lapses, lost answers, late and repeated appends, up to the bounds above.
-// Cause: a missing guard of the fold.
+// Guards against a task that runs in two places, completes twice or is resumed
+// twice, a worker or group above its limit, and instances whose states differ,
+// under any mix of lease grants, handovers, pauses, restarts, fences, lapses,
+// lost answers, late and repeated appends, up to the bounds above.
 func TestModel(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		w.begin(t)
+		w := newModel()
+		w.setUp(t)
 		t.Repeat(w.actions())
-		w.checkEnd(t)
+		w.checkAllEnd(t)
 		w.checkReplay(t)
-		for what, n := range w.seen {
+		for what, n := range w.coverage {
 			seen[what] += n
 		}
 	})
--- a/zone/option.go
+++ b/zone/option.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Option changes a setting of the fold.
+// Option changes a setting of a State.
 type Option func(*settings)
 
 type settings struct {
@@ -13,7 +13,8 @@
 	MaxBytes   int           `cbor:"5,keyasint"`
 }
 
-// maxGrowth bounds what the tasks' encoded size may grow to above MaxBytes.
+// maxGrowth bounds by how many bytes checkpoints, reasons and results may take
+// the tasks' encoded size above MaxBytes.
 const maxGrowth = 1 << 20
 
 func defaultSettings() settings {
@@ -32,7 +33,8 @@
 	return func(s *settings) { s.Retention = d }
 }
 
-// WithQuarantine sets how long a worker stays quarantined without a task done.
+// WithQuarantine sets how long a worker stays quarantined if it completes no
+// task in the meantime.
 func WithQuarantine(d time.Duration) Option {
 	return func(s *settings) { s.Quarantine = d }
 }
@@ -42,14 +44,16 @@
 	return func(s *settings) { s.MaxTasks = n }
 }
 
-// WithMaxEnded bounds the ended tasks that are kept; the oldest go first.
+// WithMaxEnded bounds the ended tasks that are kept; the oldest are forgotten
+// first.
 func WithMaxEnded(n int) Option {
 	return func(s *settings) { s.MaxEnded = n }
 }
 
 // WithMaxBytes bounds the encoded size of all tasks as they are submitted.
-// Ended ones go first, then more are refused. Checkpoints, reasons and results
-// may take it up to maxGrowth further and are dropped beyond that.
+// Ended tasks are forgotten first; then new tasks are refused. Checkpoints,
+// reasons and results may exceed it by up to maxGrowth (1 MiB) and are dropped
+// beyond that.
 func WithMaxBytes(n int) Option {
 	return func(s *settings) { s.MaxBytes = n }
 }
--- a/zone/restore.go
+++ b/zone/restore.go
@@ -19,9 +19,9 @@
 	return mode
 }
 
-// Restore returns the state held in a snapshot, with the settings that it
-// was folded by. Applying the records after the snapshot gives the state that
-// applying all records gives.
+// Restore returns the state held in a snapshot, with the settings of the
+// snapshot. Applying the records after the snapshot gives the same state as
+// applying all records from the start.
 func Restore(data []byte) (*State, error) {
 	var head struct {
 		Format uint `cbor:"0,keyasint"`
@@ -39,14 +39,14 @@
 	return m.restore()
 }
 
-// restorer rebuilds a state from an image, whose indexes it resolves.
+// restorer rebuilds a state from a snapshot and resolves its indexes.
 type restorer struct {
 	*State
-	image      *snapshot
-	groupsAt   []*group
-	runsAt     []*run
-	workersAt  []*worker
-	lastSerial uint64
+	snapshot       *snapshot
+	groupsAt       []*group
+	incarnationsAt []*incarnation
+	workersAt      []*worker
+	lastSerial     uint64
 }
 
 func (m *snapshot) restore() (*State, error) {
@@ -57,8 +57,8 @@
 	s.sweepAt = m.SweepAt
 	s.revision = m.Revision
 	s.serial = m.Serial
-	r := &restorer{State: s, image: m}
-	for _, step := range []func() error{r.restoreGroups, r.restoreRuns, r.restoreWorkers, r.restoreTasks} {
+	r := &restorer{State: s, snapshot: m}
+	for _, step := range []func() error{r.restoreGroups, r.restoreIncarnations, r.restoreWorkers, r.restoreTasks} {
 		if err := step(); err != nil {
 			return nil, err
 		}
@@ -67,133 +67,135 @@
 }
 
 func (r *restorer) restoreGroups() error {
-	for _, image := range r.image.Groups {
-		if !validName(image.Name) || r.groups[image.Name] != nil {
-			return damaged("group", image.Name)
+	for _, image := range r.snapshot.Groups {
+		if !isValidName(image.Name) || r.groups[image.Name] != nil {
+			return inconsistent("group", image.Name)
 		}
-		g := r.group(image.Name)
+		g := r.ensureGroup(image.Name)
 		g.Group = image.Group
-		g.limited = image.Limited
+		g.hasLimit = image.Limited
 		r.groupsAt = append(r.groupsAt, g)
 	}
 	return nil
 }
 
-func (r *restorer) restoreRuns() error {
-	for _, image := range r.image.Runs {
+func (r *restorer) restoreIncarnations() error {
+	for _, image := range r.snapshot.Runs {
 		w := image.Writer
 		i := r.instances[w.ID]
 		if i == nil {
 			i = &instance{}
 			r.instances[w.ID] = i
 		}
-		if !validName(w.ID) || len(i.runs) > 0 && i.newest().writer.Incarnation >= w.Incarnation {
-			return damaged("instance", w.ID)
+		if !isValidName(w.ID) || len(i.incarnations) > 0 && i.newest().writer.Incarnation >= w.Incarnation {
+			return inconsistent("instance", w.ID)
 		}
-		by := &run{
-			writer: w, sequence: image.Sequence, seen: image.Seen, fenced: image.Fenced, fencedAt: image.FencedAt,
+		by := &incarnation{
+			writer: w, sequence: image.Sequence, lastRecordAt: image.Seen, fenced: image.Fenced, fencedAt: image.FencedAt,
 			workers: map[string]*worker{},
 		}
-		i.runs = append(i.runs, by)
-		r.runsAt = append(r.runsAt, by)
+		i.incarnations = append(i.incarnations, by)
+		r.incarnationsAt = append(r.incarnationsAt, by)
 	}
 	return nil
 }
 
 func (r *restorer) restoreWorkers() error {
-	for _, image := range r.image.Workers {
-		owner, ok := r.runAt(image.Owner)
-		if !ok || !validName(image.ID) || r.workers[image.ID] != nil || !validAmount(image.Capacity) {
-			return damaged("worker", image.ID)
+	for _, image := range r.snapshot.Workers {
+		owner, ok := r.incarnationAt(image.Owner)
+		if !ok || !isValidName(image.ID) || r.workers[image.ID] != nil || !isValidAmount(image.Capacity) {
+			return inconsistent("worker", image.ID)
 		}
 		w := &worker{
 			id: image.ID, rack: image.Rack, epoch: image.Epoch, capacity: image.Capacity,
-			recorded: image.Recorded, until: image.Until, streak: image.Streak,
+			recordedAt: image.Recorded, quarantinedUntil: image.Until, failureStreak: image.Streak,
 		}
 		r.workers[w.id] = w
 		r.workersAt = append(r.workersAt, w)
 		if owner != nil {
-			owner.take(w)
+			owner.addWorker(w)
 		}
-		if w.quarantined() {
-			r.quarantine = append(r.quarantine, w)
+		if w.isQuarantined() {
+			r.quarantined = append(r.quarantined, w)
 		}
 	}
-	slices.SortStableFunc(r.quarantine, func(a, b *worker) int { return cmp.Compare(a.until, b.until) })
+	slices.SortStableFunc(r.quarantined, func(a, b *worker) int { return cmp.Compare(a.quarantinedUntil, b.quarantinedUntil) })
 	return nil
 }
 
 func (r *restorer) restoreTasks() error {
-	for i := range r.image.Tasks {
-		image := &r.image.Tasks[i]
-		t, ok := r.task(image)
+	for i := range r.snapshot.Tasks {
+		image := &r.snapshot.Tasks[i]
+		t, ok := r.restoreTask(image)
 		if !ok {
-			return damaged("task", image.ID)
+			return inconsistent("task", image.ID)
 		}
-		r.insert(t)
+		r.insertTask(t)
 		for _, at := range image.Blames {
-			if at < 0 || at >= len(r.workersAt) || ended(t.state) {
-				return damaged("failure of task", image.ID)
+			if at < 0 || at >= len(r.workersAt) || isEnded(t.state) {
+				return inconsistent("failure of task", image.ID)
 			}
-			r.setBlame(r.workersAt[at], t)
+			r.addFailure(r.workersAt[at], t)
 		}
 	}
 	return nil
 }
 
-// task returns the task of an image if its fields agree with each other and
-// with the tasks before it.
-func (r *restorer) task(image *snapshotTask) (*task, bool) {
-	owner, ok := r.runAt(image.Owner)
+// restoreTask returns the restoreTask of a snapshot if its fields are consistent with
+// each other and with the tasks before it.
+func (r *restorer) restoreTask(image *snapshotTask) (*task, bool) {
+	owner, ok := r.incarnationAt(image.Owner)
 	if !ok || image.Group < 0 || image.Group >= len(r.groupsAt) {
 		return nil, false
 	}
-	if !validName(image.ID) || r.tasks[image.ID] != nil || !validAmount(image.Need) {
+	if !isValidName(image.ID) || r.tasks[image.ID] != nil || !isValidAmount(image.Need) {
 		return nil, false
 	}
-	if int(image.State) >= len(taskStates) || inEscrow(image.State) != (owner != nil) {
+	if int(image.State) >= len(taskStates) || isInEscrow(image.State) != (owner != nil) {
 		return nil, false
 	}
-	if !r.inOrder(image) {
+	if !r.isInOrder(image) {
 		return nil, false
 	}
 	return &task{
-		id: image.ID, job: image.Job, command: image.Command, checkpoint: image.Checkpoint, note: image.Note,
-		worker: r.shared(image.Worker), need: image.Need, duration: image.Duration, group: r.groupsAt[image.Group],
-		owner: owner, serial: image.Serial, submitted: image.Submitted, ended: image.Ended, attempt: image.Attempt,
-		state: image.State, urgent: image.Urgent, suspect: image.Suspect, failures: image.Failures, declared: image.Declared, found: image.Found,
+		id: image.ID, job: image.Job, command: image.Command, checkpoint: image.Checkpoint, message: image.Note,
+		worker: r.internWorkerID(image.Worker), need: image.Need, duration: image.Duration, group: r.groupsAt[image.Group],
+		owner: owner, serial: image.Serial, submittedAt: image.Submitted, endedAt: image.Ended, attempt: image.Attempt,
+		state: image.State, urgent: image.Urgent, hasFailed: image.Suspect, failures: image.Failures, declared: image.Declared, foundOnWorker: image.Found,
 	}, true
 }
 
-// inOrder reports whether a live task comes after the ones submitted before
-// it, and an ended one after all live ones and those that ended before.
-func (r *restorer) inOrder(image *snapshotTask) bool {
-	if ended(image.State) {
-		return image.Serial == 0 && (len(r.ended) == 0 || r.ended[len(r.ended)-1].ended <= image.Ended)
+// isInOrder reports whether a live task follows the live ones submitted before
+// it, and an ended one follows all live ones and those that ended before it.
+func (r *restorer) isInOrder(image *snapshotTask) bool {
+	if isEnded(image.State) {
+		return image.Serial == 0 && (len(r.ended) == 0 || r.ended[len(r.ended)-1].endedAt <= image.Ended)
 	}
 	ok := len(r.ended) == 0 && image.Serial > r.lastSerial && image.Serial <= r.serial
 	r.lastSerial = image.Serial
 	return ok
 }
 
-func (r *restorer) shared(worker string) string {
+// internWorkerID returns the string that the worker itself holds, if known.
+func (r *restorer) internWorkerID(worker string) string {
 	if w := r.workers[worker]; w != nil {
 		return w.id
 	}
 	return worker
 }
 
-// runAt returns the run of 1 + index, and nil of 0.
-func (r *restorer) runAt(at int) (*run, bool) {
-	if at < 0 || at > len(r.runsAt) {
+// incarnationAt returns the incarnation at index at-1, and nil for 0. It
+// reports whether the index is valid.
+func (r *restorer) incarnationAt(at int) (*incarnation, bool) {
+	if at < 0 || at > len(r.incarnationsAt) {
 		return nil, false
 	}
 	if at == 0 {
 		return nil, true
 	}
-	return r.runsAt[at-1], true
+	return r.incarnationsAt[at-1], true
 }
 
-func damaged(what, id string) error {
+func inconsistent(what, id string) error {
 	return fault.New(fault.Invalid, "snapshot: %s %q doesn't fit the rest", what, id)
 }
--- a/zone/retention.go
+++ b/zone/retention.go
@@ -5,64 +5,65 @@
 	"time"
 )
 
-// sweepInterval is how often, by the records' time, the state is searched
+// sweepInterval is the interval, in the time of the records, between searches
 // for workers and instances to forget.
 const sweepInterval = time.Hour
 
-// advance moves the state's time on, which never goes back, and lets pass
-// what it ends.
-func (s *State) advance(at time.Time) {
+// advanceTime moves the state's clock forward, never back. It ends quarantines
+// and forgets ended tasks, workers and instances that are due.
+func (s *State) advanceTime(at time.Time) {
 	s.now = max(s.now, at.UnixMicro())
-	for len(s.quarantine) > 0 && s.quarantine[0].until <= s.now {
-		s.release(s.quarantine[0])
+	for len(s.quarantined) > 0 && s.quarantined[0].quarantinedUntil <= s.now {
+		s.endQuarantine(s.quarantined[0])
 	}
-	for len(s.ended) > 0 && s.ended[0].ended <= s.retained() {
+	for len(s.ended) > 0 && s.ended[0].endedAt <= s.retentionCutoff() {
 		if s.ended[0].declared {
-			s.keep()
+			s.retainDeclared()
 			continue
 		}
-		s.forget()
+		s.forgetOldestEnded()
 	}
 	if s.now >= s.sweepAt {
 		s.sweep()
 	}
 }
 
-// keep lets a declared task that has ended be known for another retention.
-//
-// What goes wrong: a declared job's tasks have ended and are forgotten, and
-// whoever compares the declaration with the state submits them again. One
-// would notice finished work running a second time a day later.
-func (s *State) keep() {
+// retainDeclared keeps the oldest ended task, which is declared, for another
+// retention period. If it were forgotten, the comparison of the declared jobs
+// with the state would submit it again, and finished work would run a second
+// time after the retention period.
+func (s *State) retainDeclared() {
 	t := s.ended[0]
-	t.ended = s.now
+	t.endedAt = s.now
 	s.ended = append(s.ended[1:], t)
 }
 
-// retained returns the time up to which things that ended are forgotten.
-func (s *State) retained() int64 {
+// retentionCutoff returns the time at or before which a task must have ended,
+// or a worker or instance been last recorded, to be forgotten.
+func (s *State) retentionCutoff() int64 {
 	return s.now - s.settings.Retention.Microseconds()
 }
 
-// trim forgets the oldest ended tasks while the state is above a bound.
-func (s *State) trim() {
+// trimEnded forgets the oldest ended tasks while the state is above a bound.
+func (s *State) trimEnded() {
 	for len(s.ended) > 0 && (len(s.ended) > s.settings.MaxEnded || s.bytes > s.settings.MaxBytes) {
-		s.forget()
+		s.forgetOldestEnded()
 	}
 }
 
-// sweep forgets lapsed workers that no task blames and instances that have
-// been silent, own no worker and have an empty escrow. Without their epoch
-// and sequence a record appended so much later would be taken; it could claim
-// nothing and end nothing, since its writer owns no worker and no task.
+// sweep forgets lapsed workers on which no task has a counted failure, and
+// instances without a recent record that own no worker and have an empty
+// escrow. Once their epoch and sequence are forgotten, a record delayed for
+// longer than the retention would be accepted. It could neither claim nor end
+// a task, since its writer owns no worker and no task.
 func (s *State) sweep() {
 	s.sweepAt = s.now + sweepInterval.Microseconds()
-	before := s.retained()
+	before := s.retentionCutoff()
 	maps.DeleteFunc(s.workers, func(_ string, w *worker) bool {
-		return w.owner == nil && w.recorded <= before && len(w.blamed) == 0 && !w.quarantined()
+		return w.owner == nil && w.recordedAt <= before && len(w.failedTasks) == 0 && !w.isQuarantined()
 	})
 	maps.DeleteFunc(s.instances, func(_ string, i *instance) bool {
 		r := i.newest()
-		return len(i.runs) == 1 && r.seen <= before && r.escrow.length == 0 && len(r.workers) == 0
+		return len(i.incarnations) == 1 && r.lastRecordAt <= before && r.escrow.length == 0 && len(r.workers) == 0
 	})
 }
--- a/zone/session_test.go
+++ b/zone/session_test.go
@@ -17,14 +17,15 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// session is a file of records. About opens with symptom, sequence and cause.
+// session is a file of records. About describes the failure that it guards
+// against.
 type session struct {
 	About   string
 	Records []step
 }
 
-// step is one record, by "instance" or "instance/incarnation". Its sequence
-// is the writer's next one unless it is given.
+// step is one record. By is "instance" or "instance/incarnation". The sequence
+// defaults to the writer's next one.
 type step struct {
 	At            time.Duration
 	By            string
@@ -53,14 +54,14 @@
 }
 
 // play returns the outcomes and the state at the end. At each step a state
-// restored from a snapshot has to go on as the state itself does.
+// restored from a snapshot must behave like the state itself.
 func (p session) play(t *testing.T) string {
 	is := is.New(t)
 	var b strings.Builder
 	s := New("a")
 	sequences := map[record.Writer]uint64{}
 	for offset, step := range p.Records {
-		r := step.wire(t, sequences)
+		r := step.decoded(t, sequences)
 		at := sessionStart.Add(step.At)
 		restored, err := Restore(snapshotOf(t, s))
 		is.NoErr(err)
@@ -88,8 +89,8 @@
 	return data
 }
 
-// wire returns the step's record after a turn through its encoded form.
-func (p step) wire(t *testing.T, sequences map[record.Writer]uint64) record.Record {
+// decoded returns the step's record after encoding and decoding it.
+func (p step) decoded(t *testing.T, sequences map[record.Writer]uint64) record.Record {
 	is := is.New(t)
 	r := p.Record
 	id, incarnation, ok := strings.Cut(p.By, "/")
@@ -111,7 +112,7 @@
 }
 
 func describe(offset int, at time.Duration, r record.Record, o Outcome) string {
-	line := fmt.Sprintf("%d %s %s/%d#%d %s: %s", offset, at, r.Writer.ID, r.Writer.Incarnation, r.Sequence, kind(r), o.Effect)
+	line := fmt.Sprintf("%d %s %s/%d#%d %s: %s", offset, at, r.Writer.ID, r.Writer.Incarnation, r.Sequence, describeBody(r), o.Effect)
 	if o.Reason != None {
 		line += " " + o.Reason.String()
 	}
@@ -127,8 +128,8 @@
 	return line
 }
 
-// kind returns the name of a record's body and what is in it.
-func kind(r record.Record) string {
+// describeBody returns the name and content of a record's body.
+func describeBody(r record.Record) string {
 	v := reflect.ValueOf(r)
 	var set []string
 	for i := range v.NumField() {
--- a/zone/snapshot.go
+++ b/zone/snapshot.go
@@ -13,26 +13,26 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// snapshotFormat is the newest form of a snapshot that this program writes
-// and understands.
+// snapshotFormat is the version of the snapshot encoding that this program
+// reads and writes.
 const snapshotFormat = 1
 
-// maxSnapshot leaves room for the record around a snapshot.
+// maxSnapshot leaves 4096 bytes for the other fields of the snapshot's record.
 const maxSnapshot = record.MaxSize - 4096
 
 type snapshot struct {
-	Format           uint             `cbor:"0,keyasint"`
-	AvailabilityZone string           `cbor:"1,keyasint"`
-	Settings         settings         `cbor:"2,keyasint"`
-	Next             uint64           `cbor:"3,keyasint"`
-	Now              int64            `cbor:"4,keyasint"`
-	SweepAt          int64            `cbor:"5,keyasint"`
-	Revision         uint64           `cbor:"6,keyasint"`
-	Serial           uint64           `cbor:"7,keyasint"`
-	Groups           []snapshotGroup  `cbor:"8,keyasint"`  // by name
-	Runs             []snapshotRun    `cbor:"9,keyasint"`  // by ID, then incarnation
-	Workers          []snapshotWorker `cbor:"10,keyasint"` // by ID
-	Tasks            []snapshotTask   `cbor:"11,keyasint"` // live ones as submitted, then ended ones as they ended
+	Format           uint                  `cbor:"0,keyasint"`
+	AvailabilityZone string                `cbor:"1,keyasint"`
+	Settings         settings              `cbor:"2,keyasint"`
+	Next             uint64                `cbor:"3,keyasint"`
+	Now              int64                 `cbor:"4,keyasint"`
+	SweepAt          int64                 `cbor:"5,keyasint"`
+	Revision         uint64                `cbor:"6,keyasint"`
+	Serial           uint64                `cbor:"7,keyasint"`
+	Groups           []snapshotGroup       `cbor:"8,keyasint"`  // by name
+	Runs             []snapshotIncarnation `cbor:"9,keyasint"`  // by ID, then incarnation
+	Workers          []snapshotWorker      `cbor:"10,keyasint"` // by ID
+	Tasks            []snapshotTask        `cbor:"11,keyasint"` // live ones in the order of submission, then ended ones in the order of ending
 }
 
 type snapshotGroup struct {
@@ -41,7 +41,7 @@
 	Group   Group  `cbor:"3,keyasint"`
 }
 
-type snapshotRun struct {
+type snapshotIncarnation struct {
 	Writer   record.Writer `cbor:"1,keyasint"`
 	Sequence uint64        `cbor:"2,keyasint"`
 	Seen     int64         `cbor:"3,keyasint"`
@@ -94,11 +94,11 @@
 	return mode
 }
 
-// Snapshot returns the state in CBOR. Equal states give equal bytes. It
-// fails with fault.TooLarge when the state doesn't fit in a record, which the
-// default settings rule out.
+// Snapshot returns the state in CBOR. Equal states give equal bytes. It fails
+// with fault.TooLarge if the state doesn't fit in a record, which can't happen
+// with the default settings.
 func (s *State) Snapshot() ([]byte, error) {
-	data, err := snapshotEncoder.Marshal(s.image())
+	data, err := snapshotEncoder.Marshal(s.toSnapshot())
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "encode snapshot")
 	}
@@ -108,7 +108,7 @@
 	return data, nil
 }
 
-func (s *State) image() snapshot {
+func (s *State) toSnapshot() snapshot {
 	m := snapshot{
 		Format:           snapshotFormat,
 		AvailabilityZone: s.availabilityZone,
@@ -123,26 +123,26 @@
 	for name := range s.Groups() {
 		g := s.groups[name]
 		groups[g] = len(m.Groups)
-		m.Groups = append(m.Groups, snapshotGroup{g.name, g.limited, g.Group})
+		m.Groups = append(m.Groups, snapshotGroup{g.name, g.hasLimit, g.Group})
 	}
-	runs := map[*run]int{}
-	for _, r := range s.sortedRuns() {
-		m.Runs = append(m.Runs, snapshotRun{r.writer, r.sequence, r.seen, r.fenced, r.fencedAt})
+	runs := map[*incarnation]int{}
+	for _, r := range s.sortedIncarnations() {
+		m.Runs = append(m.Runs, snapshotIncarnation{r.writer, r.sequence, r.lastRecordAt, r.fenced, r.fencedAt})
 		runs[r] = len(m.Runs)
 	}
 	workers := map[*worker]int{}
 	for _, w := range s.sortedWorkers() {
 		workers[w] = len(m.Workers)
 		m.Workers = append(m.Workers, snapshotWorker{
-			w.id, w.rack, runs[w.owner], w.epoch, w.capacity, w.recorded, w.until, w.streak,
+			w.id, w.rack, runs[w.owner], w.epoch, w.capacity, w.recordedAt, w.quarantinedUntil, w.failureStreak,
 		})
 	}
 	for _, t := range slices.Concat(s.liveTasks(), s.ended) {
 		image := snapshotTask{
 			t.id, t.job, groups[t.group], t.need, t.command, t.duration, t.urgent, t.state, t.attempt, runs[t.owner],
-			t.checkpoint, t.note, t.worker, nil, t.serial, t.submitted, t.ended, t.suspect, t.failures, t.declared, t.found,
+			t.checkpoint, t.message, t.worker, nil, t.serial, t.submittedAt, t.endedAt, t.hasFailed, t.failures, t.declared, t.foundOnWorker,
 		}
-		for _, w := range s.blames[t] {
+		for _, w := range s.failedOn[t] {
 			image.Blames = append(image.Blames, workers[w])
 		}
 		m.Tasks = append(m.Tasks, image)
@@ -152,9 +152,9 @@
 
 // liveTasks returns the tasks that haven't ended in the order of submission.
 func (s *State) liveTasks() []*task {
-	tasks := make([]*task, 0, s.live())
+	tasks := make([]*task, 0, s.liveCount())
 	for _, t := range s.tasks {
-		if !ended(t.state) {
+		if !isEnded(t.state) {
 			tasks = append(tasks, t)
 		}
 	}
--- a/zone/state.go
+++ b/zone/state.go
@@ -7,28 +7,28 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// State is the folded state of one availability zone's stream.
+// State is the result of applying one availability zone's stream of records.
 type State struct {
 	availabilityZone string
 	settings         settings
-	next             uint64 // offset
-	now              int64  // latest time of a record, never going back
-	sweepAt          int64  // when to look for what can be forgotten
+	next             uint64 // offset of the next record
+	now              int64  // latest time of a record; never goes back
+	sweepAt          int64  // time of the next sweep
 	revision         uint64
 	serial           uint64 // of the last submitted task
 
 	tasks      map[string]*task
-	jobs       map[string]*task // first task of the job that hasn't ended
-	queue      order
+	jobs       map[string]*task // first task of each job that hasn't ended
+	queue      taskList
 	ended      []*task // oldest first
-	bytes      int     // encoded size of all tasks, at most
-	endedBytes int     // the part of it that ended ones take
-	blames     map[*task][]*worker
+	bytes      int     // upper bound of the encoded size of all tasks
+	endedBytes int     // part of bytes that the ended tasks take
+	failedOn   map[*task][]*worker
 
-	groups     map[string]*group
-	workers    map[string]*worker
-	quarantine []*worker // by end of quarantine
-	instances  map[string]*instance
+	groups      map[string]*group
+	workers     map[string]*worker
+	quarantined []*worker // by end of quarantine
+	instances   map[string]*instance
 }
 
 // New returns the state before the first record.
@@ -38,7 +38,7 @@
 		settings:         defaultSettings(),
 		tasks:            map[string]*task{},
 		jobs:             map[string]*task{},
-		blames:           map[*task][]*worker{},
+		failedOn:         map[*task][]*worker{},
 		groups:           map[string]*group{},
 		workers:          map[string]*worker{},
 		instances:        map[string]*instance{},
@@ -54,17 +54,17 @@
 	return s.next
 }
 
-// SkipTo moves on to offset without the records before it, which are lost.
-// Every instance has to skip the same ones.
+// SkipTo advances Next to offset past records that are lost. Every instance
+// must skip the same records.
 func (s *State) SkipTo(offset uint64) {
 	s.next = max(s.next, offset)
 }
 
-// Apply folds the record at offset, which the log accepted at a time, into
-// the state. An offset that was applied before changes nothing. An offset
-// after Next and a record of a newer version change nothing either and leave
-// Next where it is: this instance must stop rather than go on from a state
-// that the others don't share.
+// Apply applies the record at offset, which the log accepted at the given
+// time. An offset that was applied before changes nothing. An offset after Next
+// and a record of a newer version change nothing either and don't advance Next:
+// the instance must stop rather than continue with a state that differs from
+// that of the other instances.
 func (s *State) Apply(offset uint64, at time.Time, r record.Record) Outcome {
 	var o Outcome
 	switch {
@@ -79,61 +79,61 @@
 		return o
 	}
 	s.next = offset + 1
-	s.advance(at)
-	s.write(offset, &r, &o)
-	s.trim()
+	s.advanceTime(at)
+	s.applyRecord(offset, &r, &o)
+	s.trimEnded()
 	return o
 }
 
-// write applies a record if its writer may write and its sequence is new.
-func (s *State) write(offset uint64, r *record.Record, o *Outcome) {
-	by := s.admit(offset, r.Writer, o)
+// applyRecord applies a record if its writer may applyRecord and its sequence is new.
+func (s *State) applyRecord(offset uint64, r *record.Record, o *Outcome) {
+	by := s.admitWriter(offset, r.Writer, o)
 	if by == nil {
 		return
 	}
-	by.seen = s.now
+	by.lastRecordAt = s.now
 	if r.Sequence <= by.sequence {
 		o.Effect = Repeated
 		return
 	}
 	by.sequence = r.Sequence
-	if bodies(r) != 1 {
+	if countBodies(r) != 1 {
 		o.void(Malformed, "not one body")
 		return
 	}
-	s.apply(offset, by, r, o)
+	s.applyBody(offset, by, r, o)
 }
 
-func (s *State) apply(offset uint64, by *run, r *record.Record, o *Outcome) {
+func (s *State) applyBody(offset uint64, writer *incarnation, r *record.Record, o *Outcome) {
 	switch {
 	case r.Limits != nil:
-		s.limit(r.Limits, o)
+		s.applyLimits(r.Limits, o)
 	case r.Submit != nil:
-		s.submit(r.Submit, o)
+		s.applySubmit(r.Submit, o)
 	case r.Own != nil:
-		s.own(by, r.Own, o)
+		s.applyOwn(writer, r.Own, o)
 	case r.Claim != nil:
-		s.claim(by, r.Claim, o)
+		s.applyClaim(writer, r.Claim, o)
 	case r.Return != nil:
-		s.giveBack(by, r.Return, o)
+		s.applyReturn(writer, r.Return, o)
 	case r.Done != nil:
-		s.done(by, r.Done, o)
+		s.applyDone(writer, r.Done, o)
 	case r.Evicted != nil:
-		s.evicted(by, r.Evicted, o)
+		s.applyEvicted(writer, r.Evicted, o)
 	case r.Failed != nil:
-		s.failed(by, r.Failed, o)
+		s.applyFailed(writer, r.Failed, o)
 	case r.Cancel != nil:
-		s.cancel(r.Cancel, o)
+		s.applyCancel(r.Cancel, o)
 	case r.Park != nil:
-		s.park(r.Park, o)
+		s.applyPark(r.Park, o)
 	case r.Fence != nil:
-		s.fence(offset, r.Fence, o)
+		s.applyFence(offset, r.Fence, o)
 	case r.Lapse != nil:
-		s.lapse(r.Lapse, o)
+		s.applyLapse(r.Lapse, o)
 	}
 }
 
-func bodies(r *record.Record) int {
+func countBodies(r *record.Record) int {
 	set := [...]bool{
 		r.Limits != nil, r.Submit != nil, r.Own != nil, r.Claim != nil, r.Return != nil, r.Done != nil, r.Evicted != nil,
 		r.Failed != nil, r.Cancel != nil, r.Fence != nil, r.Lapse != nil, r.Snapshot != nil, r.Marker != nil, r.Park != nil,
@@ -147,7 +147,7 @@
 	return n
 }
 
-// Task returns a task.
+// Task returns the task with an ID and reports whether it is known.
 func (s *State) Task(id string) (Task, bool) {
 	t := s.tasks[id]
 	if t == nil {
@@ -156,13 +156,13 @@
 	return s.view(t), true
 }
 
-// Queued returns the queued tasks in the order of their submission, which a
-// task keeps when it is queued again.
+// Queued returns the queued tasks in the order of their submission. A task
+// that is queued again keeps its position.
 func (s *State) Queued() iter.Seq[Task] {
 	return s.views(&s.queue)
 }
 
-func (s *State) views(o *order) iter.Seq[Task] {
+func (s *State) views(o *taskList) iter.Seq[Task] {
 	return func(yield func(Task) bool) {
 		for t := range o.all() {
 			if !yield(s.view(t)) {
--- a/zone/submit.go
+++ b/zone/submit.go
@@ -6,51 +6,52 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-func (s *State) submit(body *record.Submit, o *Outcome) {
+func (s *State) applySubmit(body *record.Submit, o *Outcome) {
 	taken := 0
 	for _, r := range body.Tasks {
-		if reason := s.submittable(r); reason != None {
+		if reason := s.checkSubmit(r); reason != None {
 			o.refuse(r.ID, reason)
 			continue
 		}
-		o.change(s.addAgain(r))
+		o.addChanged(s.addOrReplace(r))
 		taken++
 	}
 	o.voidIfRefused(taken)
 }
 
-// addAgain adds a task, in place of a known one that was released.
-func (s *State) addAgain(r record.Task) *task {
+// addOrReplace adds a task. If it replaces an ended one, its attempt number
+// continues from there.
+func (s *State) addOrReplace(r record.Task) *task {
 	before := s.tasks[r.ID]
 	if before == nil {
-		return s.add(r)
+		return s.addTask(r)
 	}
-	s.drop(slices.Index(s.ended, before))
-	t := s.add(r)
+	s.forgetEnded(slices.Index(s.ended, before))
+	t := s.addTask(r)
 	t.attempt = before.attempt + 1
 	return t
 }
 
-// released reports whether a known task may be declared anew.
-func released(t *task, r record.Task) bool {
-	return r.Declared && !t.declared && ended(t.state)
+// canRedeclare reports whether a known task may be submitted again as declared.
+func canRedeclare(t *task, r record.Task) bool {
+	return r.Declared && !t.declared && isEnded(t.state)
 }
 
-func (s *State) submittable(r record.Task) Reason {
-	if !validTask(r) {
+func (s *State) checkSubmit(r record.Task) Reason {
+	if !isValidTask(r) {
 		return Malformed
 	}
-	if t := s.tasks[r.ID]; t != nil && !released(t, r) {
+	if t := s.tasks[r.ID]; t != nil && !canRedeclare(t, r) {
 		return KnownTask
 	}
 	size := taskOverhead + len(r.ID) + len(r.Job) + len(r.Command) + len(r.Group)
-	if s.live() >= s.settings.MaxTasks || s.bytes-s.endedBytes+size > s.settings.MaxBytes {
+	if s.liveCount() >= s.settings.MaxTasks || s.bytes-s.endedBytes+size > s.settings.MaxBytes {
 		return Full
 	}
 	return None
 }
 
-func (s *State) cancel(body *record.Cancel, o *Outcome) {
+func (s *State) applyCancel(body *record.Cancel, o *Outcome) {
 	taken := 0
 	for _, id := range body.Tasks {
 		t := s.tasks[id]
@@ -65,7 +66,7 @@
 		taken++
 	}
 	for _, job := range body.Jobs {
-		for _, t := range s.ofJob(job) {
+		for _, t := range s.liveTasksOfJob(job) {
 			s.cancelTask(t, o)
 			taken++
 		}
@@ -80,18 +81,18 @@
 	}
 	t.declared = false
 	if err != nil {
-		o.change(t)
+		o.addChanged(t)
 		return None
 	}
 	if next == t.state {
 		return None
 	}
-	s.move(t, next, t.owner)
-	o.change(t)
+	s.transition(t, next, t.owner)
+	o.addChanged(t)
 	return None
 }
 
-func (s *State) park(body *record.Park, o *Outcome) {
+func (s *State) applyPark(body *record.Park, o *Outcome) {
 	t := s.tasks[body.Task]
 	if t == nil {
 		o.void(UnknownTask, body.Task)
@@ -102,7 +103,7 @@
 		o.void(NotQueued, body.Task)
 		return
 	}
-	s.setNote(t, body.Reason)
-	s.move(t, next, nil)
-	o.change(t)
+	s.setMessage(t, body.Reason)
+	s.transition(t, next, nil)
+	o.addChanged(t)
 }
--- a/zone/task.go
+++ b/zone/task.go
@@ -8,7 +8,7 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// TaskState is where a task stands. Its values follow task.yaml.
+// TaskState is the state of a task. Its values are in the order of task.yaml.
 type TaskState int
 
 // States of a task.
@@ -20,66 +20,67 @@
 	Cancelled
 )
 
-// Task is a copy of what is known of a task. An ended one has lost its
-// command and checkpoint.
+// Task is a copy of the state of a task. The command and checkpoint of an
+// ended task are empty.
 type Task struct {
 	record.Task
 	State       TaskState
 	Attempt     uint32 // starts at 1
-	Owner       string // instance whose escrow holds it
+	Owner       string // instance whose escrow holds the task
 	Incarnation uint64 // of the owner
 	Checkpoint  string
 	Submitted   time.Time
 	Ended       time.Time // zero until done or cancelled
-	Worker      string    // last known
-	Failures    int       // distinct workers it failed on, not counting quarantined ones
-	FailedOn    []string  // those workers
+	Worker      string    // last known worker
+	Failures    int       // number of workers in FailedOn
+	FailedOn    []string  // distinct workers that the task failed on, without quarantined ones
 	Reason      string    // of the last failure or of parking
 	Result      string    // of a done task
 	Cancelling  bool      // cancelled while escrowed; its State stays Escrowed until it ends
 }
 
-// Bounds of what a record may set on a task. A longer reason or result is
-// cut; a longer checkpoint is ignored, and the task resumes from the one
-// before it; a task that is longer elsewhere is refused.
+// Bounds of the fields that a record may set on a task, in bytes. A longer
+// reason or result is cut. A longer checkpoint is ignored, and the task resumes
+// from the previous one. A task with another field above its bound is refused.
 const (
 	maxName       = 128
 	maxCommand    = 4096
 	maxCheckpoint = 1024
-	maxNote       = 512
+	maxMessage    = 512
 	maxAmount     = 1 << 40 // of a resource, so that sums can't overflow
 )
 
-// taskOverhead is the most that a task takes in a snapshot beside its strings.
+// taskOverhead is the maximum size of a task in a snapshot without its strings,
+// in bytes.
 const taskOverhead = 124
 
-// task is the folded form of a task.
+// task is the internal state of a task.
 type task struct {
-	id, job    string
-	command    string
-	checkpoint string
-	note       string // result when done, else the reason
-	worker     string
-	need       resource.Vector
-	duration   time.Duration
-	group      *group
-	owner      *run   // nil unless in an escrow
-	before     *task  // ring of the job's tasks that haven't ended
-	after      *task  // in the order of submission
-	serial     uint64 // order of submission; zero once ended
-	submitted  int64  // Unix time in microseconds, as all times here
-	ended      int64
-	attempt    uint32
-	state      chart.State
-	urgent     bool
-	declared   bool   // remembered when it has ended
-	found      bool   // an Own record found the attempt on a worker
-	suspect    bool   // it has failed somewhere
-	failures   uint32 // attempts that failed on workers that weren't quarantined
+	id, job       string
+	command       string
+	checkpoint    string
+	message       string // result of a done task, otherwise the reason
+	worker        string
+	need          resource.Vector
+	duration      time.Duration
+	group         *group
+	owner         *incarnation // nil unless in an escrow
+	prevInJob     *task        // circular list of the job's tasks that haven't ended,
+	nextInJob     *task        // in the order of submission
+	serial        uint64       // order of submission; zero once ended
+	submittedAt   int64        // Unix time in microseconds, like all times of the state
+	endedAt       int64
+	attempt       uint32
+	state         chart.State
+	urgent        bool
+	declared      bool   // kept after its end until it is cancelled
+	foundOnWorker bool   // an Own record listed the current attempt as held by a worker
+	hasFailed     bool   // an attempt has failed before
+	failures      uint32 // attempts that failed on workers that weren't quarantined
 }
 
-func (t *task) size() int {
-	return taskOverhead + len(t.id) + len(t.job) + len(t.command) + len(t.checkpoint) + len(t.note) + len(t.worker) + len(t.group.name)
+func (t *task) encodedSize() int {
+	return taskOverhead + len(t.id) + len(t.job) + len(t.command) + len(t.checkpoint) + len(t.message) + len(t.worker) + len(t.group.name)
 }
 
 func (s *State) view(t *task) Task {
@@ -91,12 +92,12 @@
 		State:      TaskState(t.state),
 		Attempt:    t.attempt,
 		Checkpoint: t.checkpoint,
-		Submitted:  moment(t.submitted),
-		Ended:      moment(t.ended),
+		Submitted:  toTime(t.submittedAt),
+		Ended:      toTime(t.endedAt),
 		Worker:     t.worker,
-		Failures:   len(s.blames[t]),
+		Failures:   len(s.failedOn[t]),
 	}
-	for _, w := range s.blames[t] {
+	for _, w := range s.failedOn[t] {
 		v.FailedOn = append(v.FailedOn, w.id)
 	}
 	if t.state == stateCancelling {
@@ -104,9 +105,9 @@
 		v.Cancelling = true
 	}
 	if t.state == stateDone {
-		v.Result = t.note
+		v.Result = t.message
 	} else {
-		v.Reason = t.note
+		v.Reason = t.message
 	}
 	if t.owner != nil {
 		v.Owner = t.owner.writer.ID
@@ -115,22 +116,22 @@
 	return v
 }
 
-func moment(micro int64) time.Time {
+func toTime(micro int64) time.Time {
 	if micro == 0 {
 		return time.Time{}
 	}
 	return time.UnixMicro(micro).UTC()
 }
 
-func validTask(t record.Task) bool {
-	return validName(t.ID) && len(t.Job) <= maxName && validName(t.Group) && len(t.Command) <= maxCommand &&
-		validAmount(t.Need) && !t.Need.IsZero() && t.Duration >= 0
+func isValidTask(t record.Task) bool {
+	return isValidName(t.ID) && len(t.Job) <= maxName && isValidName(t.Group) && len(t.Command) <= maxCommand &&
+		isValidAmount(t.Need) && !t.Need.IsZero() && t.Duration >= 0
 }
 
-func validName(name string) bool {
+func isValidName(name string) bool {
 	return name != "" && len(name) <= maxName
 }
 
-func validAmount(v resource.Vector) bool {
+func isValidAmount(v resource.Vector) bool {
 	return !v.IsNegative() && v.Fits(resource.Vector{Processors: maxAmount, Memory: maxAmount, Accelerators: maxAmount})
 }
--- a/zone/transition.go
+++ b/zone/transition.go
@@ -69,12 +69,12 @@
 	return e
 }
 
-// ended reports whether no event leads on from s.
-func ended(s chart.State) bool {
+// isEnded reports whether s is final.
+func isEnded(s chart.State) bool {
 	return s == stateDone || s == stateCancelled
 }
 
-// inEscrow reports whether a task in s belongs to an escrow.
-func inEscrow(s chart.State) bool {
+// isInEscrow reports whether a task in s belongs to an escrow.
+func isInEscrow(s chart.State) bool {
 	return s == stateEscrowed || s == stateCancelling
 }
--- a/zone/worker.go
+++ b/zone/worker.go
@@ -9,7 +9,7 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Worker is a copy of what is known of a worker.
+// Worker is a copy of the state of a worker.
 type Worker struct {
 	ID          string
 	Owner       string // empty once lapsed
@@ -19,27 +19,27 @@
 	Rack        string
 	Lapsed      bool
 	Quarantined bool
-	Failures    int // distinct tasks failed since the last one done, counted up to the quarantine
+	Failures    int // distinct tasks failed since the last completed one, at most maxFailureStreak
 }
 
-// maxWorkers bounds the workers on record.
+// maxWorkers bounds the workers that the state holds.
 const maxWorkers = 2048
 
-// worker is the folded form of a worker. A lapsed one has no owner and is
+// worker is the internal state of a worker. A lapsed one has no owner and is
 // forgotten after the retention time.
 type worker struct {
-	id, rack string
-	owner    *run
-	epoch    uint64
-	capacity resource.Vector
-	recorded int64          // time of the last Own or Lapse
-	until    int64          // end of the quarantine, zero without
-	streak   []string       // distinct tasks failed since the last one done
-	blamed   map[*task]bool // tasks that count a failure on it
+	id, rack         string
+	owner            *incarnation
+	epoch            uint64
+	capacity         resource.Vector
+	recordedAt       int64          // time of the last Own or Lapse
+	quarantinedUntil int64          // end of the quarantine, zero if not quarantined
+	failureStreak    []string       // distinct tasks failed since the last completed one
+	failedTasks      map[*task]bool // tasks with a counted failure on this worker
 }
 
-func (w *worker) quarantined() bool {
-	return w.until != 0
+func (w *worker) isQuarantined() bool {
+	return w.quarantinedUntil != 0
 }
 
 func (w *worker) view() Worker {
@@ -49,8 +49,8 @@
 		Capacity:    w.capacity,
 		Rack:        w.rack,
 		Lapsed:      w.owner == nil,
-		Quarantined: w.quarantined(),
-		Failures:    len(w.streak),
+		Quarantined: w.isQuarantined(),
+		Failures:    len(w.failureStreak),
 	}
 	if w.owner != nil {
 		v.Owner = w.owner.writer.ID
@@ -59,7 +59,7 @@
 	return v
 }
 
-// Worker returns a worker.
+// Worker returns the worker with an ID and reports whether it is known.
 func (s *State) Worker(id string) (Worker, bool) {
 	w := s.workers[id]
 	if w == nil {
@@ -87,10 +87,10 @@
 	return sorted
 }
 
-// own records the writer as the owner of a worker and moves what the worker
-// held into the writer's escrow.
-func (s *State) own(by *run, body *record.Own, o *Outcome) {
-	if !validName(body.Worker) || len(body.Rack) > maxName || !validAmount(body.Capacity) {
+// applyOwn records the writer as the owner of a worker and moves the tasks that
+// the worker held into the writer's escrow.
+func (s *State) applyOwn(writer *incarnation, body *record.Own, o *Outcome) {
+	if !isValidName(body.Worker) || len(body.Rack) > maxName || !isValidAmount(body.Capacity) {
 		o.void(Malformed, "own")
 		return
 	}
@@ -109,31 +109,30 @@
 	s.workers[w.id] = w
 	before := w.owner
 	if before != nil {
-		before.drop(w)
+		before.removeWorker(w)
 	}
 	w.epoch = body.Epoch
 	w.capacity = body.Capacity
 	w.rack = body.Rack
-	w.recorded = s.now
-	by.take(w)
+	w.recordedAt = s.now
+	writer.addWorker(w)
 	for _, held := range body.Held {
-		s.hold(by, w, held, o)
+		s.adoptHeld(writer, w, held, o)
 	}
 	if before != nil {
-		s.settle(before, o)
+		s.recoverEscrow(before, o)
 	}
 }
 
-// hold keeps a task where a worker was found to hold it.
+// adoptHeld moves a task that a worker holds into the escrow of the worker's
+// new owner.
 //
-// What goes wrong: a worker goes on with a task while its ownership moves;
-// were the task queued or left to the old owner, a second worker would be
-// given it too. One would notice two workers reporting the same task. Moving
-// it into the escrow of the one instance that may now speak to the worker
-// prevents that. A stale attempt stays where it is, and the new owner has to
-// stop it.
-func (s *State) hold(by *run, w *worker, held record.Attempt, o *Outcome) {
-	t, reason := s.current(held)
+// A worker continues a task while its ownership changes. If the task were
+// queued or left to the old owner, a second worker could be given it too.
+// Only the new owner may talk to the worker, so only its escrow is safe. The
+// state of a stale attempt isn't changed, and the new owner has to stop it.
+func (s *State) adoptHeld(writer *incarnation, w *worker, held record.Attempt, o *Outcome) {
+	t, reason := s.currentAttempt(held)
 	if reason != None {
 		o.refuse(held.Task, reason)
 		return
@@ -144,16 +143,17 @@
 		return
 	}
 	s.setWorker(t, w.id)
-	t.found = true
-	if t.owner == by {
+	t.foundOnWorker = true
+	if t.owner == writer {
 		return
 	}
-	s.move(t, next, by)
-	o.change(t)
+	s.transition(t, next, writer)
+	o.addChanged(t)
 }
 
-// lapse takes a worker out of the set that a fenced owner's recovery waits for.
-func (s *State) lapse(body *record.Lapse, o *Outcome) {
+// applyLapse removes a worker from the set that the recovery of its fenced
+// owner waits for.
+func (s *State) applyLapse(body *record.Lapse, o *Outcome) {
 	w := s.workers[body.Worker]
 	if w == nil {
 		o.void(UnknownWorker, "")
@@ -172,8 +172,8 @@
 		return
 	}
 	before := w.owner
-	before.drop(w)
+	before.removeWorker(w)
 	w.owner = nil
-	w.recorded = s.now
-	s.settle(before, o)
+	w.recordedAt = s.now
+	s.recoverEscrow(before, o)
 }
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -20,8 +20,8 @@
 
 // writer appends records of one instance to a state.
 type writer struct {
-	s        *State
-	at       time.Time
+	state    *State
+	now      time.Time
 	sequence uint64
 }
 
@@ -29,7 +29,7 @@
 	w.sequence++
 	r.Writer = record.Writer{ID: "a", Incarnation: 1}
 	r.Sequence = w.sequence
-	return w.s.Apply(w.s.Next(), w.at, r)
+	return w.state.Apply(w.state.Next(), w.now, r)
 }
 
 func (w *writer) submit(ids ...string) Outcome {
@@ -44,73 +44,70 @@
 	return w.append(record.Record{Cancel: &record.Cancel{Tasks: ids}})
 }
 
-// Symptom: an instance goes on from a state that the others don't share.
-// Sequence: a read skips offsets, or brings a record of a newer version.
-// Cause: a fold that goes on without them.
+// Apply must stop at a skipped offset and at a record of a newer version. An
+// instance that continued would hold a state that differs from the others'.
 func TestApplyStops(t *testing.T) {
 	is := is.New(t)
-	w := &writer{s: New("a"), at: sessionStart}
+	w := &writer{state: New("a"), now: sessionStart}
 	w.submit("t1")
-	before := w.s.Dump()
+	before := w.state.Dump()
 	marker := record.Record{Writer: record.Writer{ID: "a", Incarnation: 1}, Sequence: 9, Marker: &record.Marker{}}
 	newer := marker
 	newer.Version = record.Version + 1
-	is.Equal(w.s.Apply(2, w.at, marker).Reason, Gap)
-	is.Equal(w.s.Apply(1, w.at, newer).Reason, NewerVersion)
-	is.Equal(w.s.Apply(0, w.at, marker).Effect, Repeated)
-	is.Equal(w.s.Dump(), before)
-	w.s.SkipTo(2)
-	is.Equal(w.s.Apply(2, w.at, marker).Effect, Applied)
-	is.Equal(w.s.Sequence(marker.Writer), uint64(9))
+	is.Equal(w.state.Apply(2, w.now, marker).Reason, Gap)
+	is.Equal(w.state.Apply(1, w.now, newer).Reason, NewerVersion)
+	is.Equal(w.state.Apply(0, w.now, marker).Effect, Repeated)
+	is.Equal(w.state.Dump(), before)
+	w.state.SkipTo(2)
+	is.Equal(w.state.Apply(2, w.now, marker).Effect, Applied)
+	is.Equal(w.state.Sequence(marker.Writer), uint64(9))
 }
 
-// Symptom: an instance runs out of memory, or a snapshot doesn't fit in a
-// record.
-// Sequence: tasks are submitted faster than they end, for ever; instances and
-// workers come and go.
-// Cause: state without a bound.
+// Guards the bounds of the state when tasks are submitted faster than they end
+// and instances and workers come and go. Without them an instance runs out of
+// memory, or a snapshot no longer fits in a record.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	w := &writer{s: New("a", WithMaxTasks(3), WithMaxEnded(2), WithRetention(time.Hour)), at: sessionStart}
+	w := &writer{state: New("a", WithMaxTasks(3), WithMaxEnded(2), WithRetention(time.Hour)), now: sessionStart}
 	o := w.submit("t1", "t2", "t3", "t4")
 	is.Equal(o.Refused, []Refusal{{"t4", Full}})
 	w.cancel("t2", "t1", "t3")
-	_, known := w.s.Task("t2")
-	is.True(!known) // the oldest end goes first
-	_, known = w.s.Task("t1")
+	_, known := w.state.Task("t2")
+	is.True(!known) // the task that ended first is forgotten first
+	_, known = w.state.Task("t1")
 	is.True(known)
 	is.Equal(w.submit("t1").Reason, KnownTask)
 
 	w.append(record.Record{Own: &record.Own{Worker: "w1", Epoch: 1}})
 	w.append(record.Record{Fence: &record.Fence{Instance: record.Writer{ID: "b", Incarnation: 1}}})
-	w.at = w.at.Add(time.Hour - time.Microsecond)
+	w.now = w.now.Add(time.Hour - time.Microsecond)
 	is.Equal(w.submit("t1").Reason, KnownTask)
-	w.at = w.at.Add(2 * time.Hour)
+	w.now = w.now.Add(2 * time.Hour)
 	is.Equal(w.submit("t1").Effect, Applied) // no longer known
-	is.Equal(len(w.s.instances), 1)          // b is forgotten, a writes
-	_, known = w.s.Worker("w1")
+	is.Equal(len(w.state.instances), 1)      // b is forgotten, a writes
+	_, known = w.state.Worker("w1")
 	is.True(known) // it has an owner
 	w.append(record.Record{Fence: &record.Fence{Instance: record.Writer{ID: "a", Incarnation: 1}}})
 	other := record.Record{Writer: record.Writer{ID: "c", Incarnation: 1}, Sequence: 1, Lapse: &record.Lapse{Worker: "w1", Epoch: 1}}
-	is.Equal(w.s.Apply(w.s.Next(), w.at, other).Effect, Applied)
+	is.Equal(w.state.Apply(w.state.Next(), w.now, other).Effect, Applied)
 	other = record.Record{Writer: other.Writer, Sequence: 2, Marker: &record.Marker{}}
-	w.s.Apply(w.s.Next(), w.at.Add(2*time.Hour), other)
-	_, known = w.s.Worker("w1")
+	w.state.Apply(w.state.Next(), w.now.Add(2*time.Hour), other)
+	_, known = w.state.Worker("w1")
 	is.True(!known)
 
-	w = &writer{s: New("a", WithMaxBytes(1000)), at: sessionStart}
+	w = &writer{state: New("a", WithMaxBytes(1000)), now: sessionStart}
 	id := strings.Repeat("x", maxName-1)
 	is.Equal(len(w.submit(id+"1", id+"2", id+"3", id+"4").Refused), 1)
 	w.cancel(id + "1")
 	is.Equal(len(w.submit(id+"4").Changed), 1)
-	_, known = w.s.Task(id + "1")
-	is.True(!known) // it made room
+	_, known = w.state.Task(id + "1")
+	is.True(!known) // forgotten in favour of the new task
 }
 
-// The default settings have to keep the largest state within one record.
+// With the default settings the largest state must fit in one record.
 func TestSnapshotFits(t *testing.T) {
 	is := is.New(t)
-	w := &writer{s: New("a"), at: sessionStart}
+	w := &writer{state: New("a"), now: sessionStart}
 	command := strings.Repeat("c", 130)
 	for n := range 40000 {
 		task := record.Task{
@@ -122,17 +119,17 @@
 			w.cancel(task.ID)
 		}
 	}
-	data, err := w.s.Snapshot()
+	data, err := w.state.Snapshot()
 	is.NoErr(err)
-	is.True(len(data) < w.s.settings.MaxBytes+64<<10) // what is counted is at least what is encoded
-	is.True(w.s.bytes <= w.s.settings.MaxBytes)
-	is.True(w.s.live() > 15000)
+	is.True(len(data) < w.state.settings.MaxBytes+64<<10) // bytes is an upper bound of the encoded size
+	is.True(w.state.bytes <= w.state.settings.MaxBytes)
+	is.True(w.state.liveCount() > 15000)
 }
 
 func TestOrder(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	var o order
+	var o taskList
 	var want []*task
 	for serial := range uint64(5000) {
 		o.insert(&task{serial: serial})
@@ -161,7 +158,7 @@
 			o.remove(t)
 		}
 	}
-	is.True(len(o.chunks) <= 4*o.length/maxChunk+1) // stragglers share chunks
+	is.True(len(o.chunks) <= 4*o.length/maxChunk+1) // the remaining tasks share chunks
 }
 
 func bySerial(a, b *task) int {
@@ -169,14 +166,14 @@
 }
 
 func FuzzRestore(f *testing.F) {
-	w := &writer{s: New("a"), at: sessionStart}
+	w := &writer{state: New("a"), now: sessionStart}
 	w.append(record.Record{Limits: &record.Limits{Revision: 1, Groups: map[string]resource.Vector{"g": unit.Scale(9)}}})
 	w.append(record.Record{Own: &record.Own{Worker: "w1", Epoch: 1, Capacity: unit.Scale(4)}})
 	w.submit("t1", "t2", "t3", "t4")
 	w.append(record.Record{Claim: &record.Claim{Tasks: []string{"t1", "t2", "t3"}}})
 	w.append(record.Record{Failed: &record.Failed{Attempt: record.Attempt{Task: "t1", Number: 1}, Worker: "w1"}})
 	w.append(record.Record{Done: &record.Done{Attempt: record.Attempt{Task: "t2", Number: 1}, Worker: "w1"}})
-	data, err := w.s.Snapshot()
+	data, err := w.state.Snapshot()
 	is.New(f).NoErr(err)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
@@ -188,7 +185,7 @@
 			return
 		}
 		s.Dump()
-		next := &writer{s: s, at: sessionStart}
+		next := &writer{state: s, now: sessionStart}
 		next.sequence = s.Sequence(record.Writer{ID: "a", Incarnation: 1})
 		next.append(record.Record{Claim: &record.Claim{Tasks: []string{"t4"}}})
 		next.cancel("t3", "t4")
@@ -202,10 +199,10 @@
 	is.Equal(Chart(), string(want))
 }
 
-// BenchmarkApply folds the life of one task for each iteration: submitted,
-// claimed, evicted, claimed, done, beside 2,000 others that run.
+// BenchmarkApply applies the records of one task in each iteration (submit,
+// claim, evict, claim, done) while 2,000 other tasks run.
 func BenchmarkApply(b *testing.B) {
-	w := &writer{s: populated(220, 2000), at: sessionStart}
+	w := &writer{state: populated(220, 2000), now: sessionStart}
 	b.ReportAllocs()
 	records := 0
 	for b.Loop() {
@@ -217,20 +214,21 @@
 		w.append(record.Record{Done: &record.Done{Attempt: record.Attempt{Task: id, Number: 2}, Worker: "w1"}})
 		records += 5
 	}
-	if done := w.s.Group("g").Done; done != uint64(records/5) {
+	if done := w.state.Group("g").Done; done != uint64(records/5) {
 		b.Fatalf("%d tasks done, want %d", done, records/5)
 	}
 	b.ReportMetric(float64(records)/b.Elapsed().Seconds(), "records/s")
 }
 
-// BenchmarkMemory reports the bytes of heap that each kind of thing takes.
+// BenchmarkMemory reports the heap bytes for each worker, task, ended task and
+// group.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		empty := heap(func() any { return populated(0, 0) })
-		workers := heap(func() any { return populated(2000, 0) })
-		tasks := heap(func() any { return populated(0, 20000) })
-		ended := heap(func() any { return endAll(populated(0, 20000)) })
-		groups := heap(func() any { return grouped(1000) })
+		empty := heapGrowth(func() any { return populated(0, 0) })
+		workers := heapGrowth(func() any { return populated(2000, 0) })
+		tasks := heapGrowth(func() any { return populated(0, 20000) })
+		ended := heapGrowth(func() any { return endAll(populated(0, 20000)) })
+		groups := heapGrowth(func() any { return withGroups(1000) })
 		b.ReportMetric((workers-empty)/2000, "B/worker")
 		b.ReportMetric((tasks-empty)/20000, "B/task")
 		b.ReportMetric((ended-empty)/20000, "B/ended-task")
@@ -248,7 +246,7 @@
 	}
 }
 
-func heap(build func() any) float64 {
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -261,14 +259,15 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// populated returns a state read from encoded records, as an instance has it.
+// populated returns a state built from encoded records, like that of an
+// instance.
 func populated(workers, tasks int) *State {
-	w := &writer{s: New("a"), at: sessionStart}
+	w := &writer{state: New("a"), now: sessionStart}
 	limits := map[string]resource.Vector{"g": {Processors: 1 << 40, Memory: 1 << 40}}
 	w.append(record.Record{Limits: &record.Limits{Revision: 1, Groups: limits}})
 	for n := range workers {
 		own := &record.Own{Worker: fmt.Sprint("w", n), Epoch: 1, Rack: fmt.Sprint("rack", n/11), Capacity: unit.Scale(64)}
-		w.append(wired(record.Record{Own: own}))
+		w.append(roundTrip(record.Record{Own: own}))
 	}
 	for n := range tasks {
 		id := fmt.Sprintf("rebuild-%08d-%04d", n/2, n%2)
@@ -276,23 +275,23 @@
 			ID: id, Job: id[:16], Group: "g", Need: unit, Duration: time.Hour,
 			Command: "glossary rebuild --part=" + id,
 		}
-		w.append(wired(record.Record{Submit: &record.Submit{Tasks: []record.Task{task}}}))
+		w.append(roundTrip(record.Record{Submit: &record.Submit{Tasks: []record.Task{task}}}))
 		if workers > 0 {
-			w.append(wired(record.Record{Claim: &record.Claim{Tasks: []string{id}}}))
+			w.append(roundTrip(record.Record{Claim: &record.Claim{Tasks: []string{id}}}))
 		}
 	}
-	w.s.instances["a"].newest().sequence = 0
-	return w.s
+	w.state.instances["a"].newest().sequence = 0
+	return w.state
 }
 
-func grouped(n int) *State {
+func withGroups(n int) *State {
 	limits := map[string]resource.Vector{}
 	for i := range n {
 		limits[fmt.Sprint("group-", i)] = unit
 	}
-	w := &writer{s: New("a"), at: sessionStart}
-	w.append(wired(record.Record{Limits: &record.Limits{Revision: 1, Groups: limits}}))
-	return w.s
+	w := &writer{state: New("a"), now: sessionStart}
+	w.append(roundTrip(record.Record{Limits: &record.Limits{Revision: 1, Groups: limits}}))
+	return w.state
 }
 
 func endAll(s *State) *State {
@@ -302,6 +301,6 @@
 	return s
 }
 
-func wired(r record.Record) record.Record {
+func roundTrip(r record.Record) record.Record {
 	return must(record.Decode(must(record.Encode(r))))
 }
