--- a/member/chart.go
+++ b/member/chart.go
@@ -8,7 +8,7 @@
 
 //go:generate go tool stringer -type=event -linecomment -output=event_strings.go
 
-// event is what may move a member to another state.
+// event is an event of the state chart of a member.
 type event int
 
 // Events of member.yaml.
@@ -24,7 +24,7 @@
 	eventRestarted              // restarted
 	eventLeaving                // leaving
 	eventAlone                  // alone
-	events
+	eventCount                  // events
 )
 
 //go:embed member.yaml
@@ -35,18 +35,18 @@
 	chartEvents = loadEvents()
 )
 
-// Chart returns the state chart that moves members.
+// Chart returns the state chart of a member.
 func Chart() *chart.Chart {
 	return transitions
 }
 
-// loadChart checks the embedded file when the program starts.
+// loadChart loads and checks the embedded file when the program starts.
 func loadChart() *chart.Chart {
 	c, err := chart.New(chartFile)
 	if err != nil {
 		panic(err) // the file is part of the program
 	}
-	for s := range states {
+	for s := range stateCount {
 		if number, ok := c.State(s.String()); !ok || State(number) != s {
 			panic("member.yaml: state " + s.String() + " is missing or out of order")
 		}
@@ -54,9 +54,9 @@
 	return c
 }
 
-func loadEvents() [events]chart.Event {
-	var numbers [events]chart.Event
-	for ev := range events {
+func loadEvents() [eventCount]chart.Event {
+	var numbers [eventCount]chart.Event
+	for ev := range eventCount {
 		number, ok := transitions.Event(ev.String())
 		if !ok {
 			panic("member.yaml: no event " + ev.String())
@@ -66,8 +66,8 @@
 	return numbers
 }
 
-// next returns the state after an event, and false where the state has no
-// use for it.
+// next returns the state after an event, and false if the state has no
+// transition for it.
 func next(s State, ev event) (State, bool) {
 	to, err := transitions.Next(chart.State(s), chartEvents[ev])
 	return State(to), err == nil
--- a/member/doc.go
+++ b/member/doc.go
@@ -1,8 +1,8 @@
-// Package member is one instance's view of which entry instances are there,
-// kept without a coordinator. The platform's instance list is a hint that may
-// lag; heartbeats are direct evidence; a refused connection is quick evidence
-// that needs confirmation. Views of two instances may differ for a while:
-// leases keep that safe, and the view only says who should ask for them.
+// Package member maintains one instance's view of the membership of entry
+// instances without a coordinator. The platform's instance list is a hint that
+// may lag; heartbeats are direct evidence; a refused connection is fast evidence
+// that needs confirmation. The views of two instances may differ temporarily.
+// Leases keep that safe; the view only decides who tries to acquire them.
 //
 // Usage:
 //
@@ -13,10 +13,10 @@
 //	owner, _ := rendezvous.Pick(worker, table.Live(zone))
 //	for _, id := range table.Due(now, revision) { send(id, table.Heartbeat(...)) }
 //
-// The states and what moves a member between them are in member.yaml. A
-// silent member is suspected, and goes on owning workers while it is; when it
-// is declared dead it must be heard steadily for a while before it owns again,
-// longer each time it dies soon after.
+// The states and transitions of a member are in member.yaml. A silent member
+// is suspected and keeps its workers meanwhile. After it has been declared dead
+// it must send heartbeats without a gap for the hysteresis before it owns
+// workers again, longer each time it dies soon after.
 //
 // The package does no I/O and reads no clock. Its memory is bounded by
 // WithLimit members, each with at most maxFree services; a member that is
--- a/member/entry.go
+++ b/member/entry.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// entry is a Member with what the table keeps beside it.
+// entry is a Member with the internal state of the table.
 type entry struct {
 	Member
-	sequence uint64    // of the newest heartbeat
-	evidence time.Time // silence counts from here
-	expires  time.Time // when a suspect is declared dead
-	delisted bool      // was listed and is no more
-	gone     time.Time // since when it is off the list, or never was on it
+	sequence        uint64    // of the newest heartbeat
+	lastEvidence    time.Time // start of the current silence
+	confirmDeadline time.Time // when a suspect is declared dead
+	delisted        bool      // was listed and no longer is
+	unlistedAt      time.Time // when it was removed from the list, or added without being listed
 
-	reported    State // as last returned by Tick
-	incarnation uint64
+	reportedState       State // as last returned by Tick
+	reportedIncarnation uint64
 
-	due           time.Time // of the next heartbeat to it
-	shownRevision uint64    // newest revision sent to it
-	shownLeaving  bool
+	nextHeartbeatAt time.Time // of the next heartbeat to it
+	sentRevision    uint64    // newest revision sent to the member
+	sentLeaving     bool
 }
 
-// move applies an event; one that the state has no use for changes nothing.
-func (e *entry) move(now time.Time, ev event) bool {
+// transition applies an event and reports whether the state has a transition
+// for it; without one nothing changes.
+func (e *entry) transition(now time.Time, ev event) bool {
 	to, ok := next(e.State, ev)
 	if !ok {
 		return false
@@ -30,12 +31,12 @@
 	return true
 }
 
-// owns reports whether the member counts among the owners of workers.
-func (e *entry) owns() bool {
+// isOwner reports whether the member counts among the owners of workers.
+func (e *entry) isOwner() bool {
 	return e.State == Live || e.State == Suspect || e.State == Isolated
 }
 
-// silent reports whether nothing spoke for the member for longer than d.
-func (e *entry) silent(now time.Time, d time.Duration) bool {
-	return now.Sub(e.evidence) > d
+// isSilent reports whether the last evidence for the member is older than d.
+func (e *entry) isSilent(now time.Time, d time.Duration) bool {
+	return now.Sub(e.lastEvidence) > d
 }
--- a/member/event_strings.go
+++ b/member/event_strings.go
@@ -19,7 +19,7 @@
 	_ = x[eventRestarted-8]
 	_ = x[eventLeaving-9]
 	_ = x[eventAlone-10]
-	_ = x[events-11]
+	_ = x[eventCount-11]
 }
 
 const _event_name = "startseededlistedheardsteadysilentrefusedexpiredrestartedleavingaloneevents"
--- a/member/evidence.go
+++ b/member/evidence.go
@@ -6,62 +6,64 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Listed takes the platform's instance list. The first list is believed until
-// the list grace ends, so that a starting instance doesn't take itself for the
-// only one. After that a listing only makes an instance known: it neither
-// revives a dead one nor makes a new one own workers.
+// Listed handles the platform's instance list. The members of the first list
+// count as owners until the list grace ends, so that a starting instance doesn't
+// consider itself the only one. Later lists only add instances to the table:
+// they neither revive a dead one nor make a new one own workers.
 func (t *Table) Listed(now time.Time, list []provider.Instance) {
 	listed := make(map[string]bool, len(list))
 	for _, instance := range list {
-		if instance.Role != provider.RoleEntry || instance.ID == t.self.ID || !validName(instance.ID) {
+		if instance.Role != provider.RoleEntry || instance.ID == t.self.ID || !isValidName(instance.ID) {
 			continue
 		}
 		listed[instance.ID] = true
-		t.list(now, instance)
+		t.updateListed(now, instance)
 	}
 	for e := range t.others {
 		if e.Listed && !listed[e.ID] {
 			e.Listed = false
 			e.delisted = true
-			e.gone = now
+			e.unlistedAt = now
 		}
 	}
-	t.seeded = t.seeded || len(listed) > 0
+	t.hasList = t.hasList || len(listed) > 0
 }
 
-func (t *Table) list(now time.Time, instance provider.Instance) {
+func (t *Table) updateListed(now time.Time, instance provider.Instance) {
 	e, known := t.members[instance.ID]
 	if !known {
 		if e = t.add(now, instance.ID, instance.AvailabilityZone); e == nil {
 			return
 		}
-		t.introduce(now, e)
+		t.enlist(now, e)
 	}
 	e.Listed = true
 	e.delisted = false
-	// What goes wrong: the list still shows the address of a run that was
-	// replaced, and links go to nobody. One would see a live member whose link
-	// is never made. So an address that a heartbeat gave holds while it is heard.
-	if e.Address == "" || !e.heard() {
+	// The list may still show the address of an incarnation that was replaced,
+	// and a link to it would never be established. So the address from a
+	// heartbeat has priority while heartbeats arrive.
+	if e.Address == "" || !e.hasContact() {
 		e.Address = instance.Address
 	}
 }
 
-func (t *Table) introduce(now time.Time, e *entry) {
-	if t.seeded {
-		e.move(now, eventListed)
+// enlist sets the state of a new member from the list: suspect until the list
+// grace ends if it is in the first list, and joining otherwise.
+func (t *Table) enlist(now time.Time, e *entry) {
+	if t.hasList {
+		e.transition(now, eventListed)
 		return
 	}
-	e.move(now, eventSeeded)
-	e.expires = now.Add(t.listGrace)
+	e.transition(now, eventSeeded)
+	e.confirmDeadline = now.Add(t.listGrace)
 }
 
-// Heard takes a heartbeat, which is direct evidence.
+// Heard handles a heartbeat.
 func (t *Table) Heard(now time.Time, h Heartbeat) Outcome {
 	if h.ID == t.self.ID {
-		return t.heardSelf(h)
+		return t.handleOwn(h)
 	}
-	if !validName(h.ID) || !validName(h.AvailabilityZone) || len(h.Address) > maxName || len(h.Free) > maxFree {
+	if !isValidName(h.ID) || !isValidName(h.AvailabilityZone) || len(h.Address) > maxName || len(h.Free) > maxFree {
 		return Rejected
 	}
 	e, known := t.members[h.ID]
@@ -74,15 +76,15 @@
 	case h.Incarnation < e.Incarnation:
 		return Outdated
 	case h.Incarnation > e.Incarnation:
-		return t.heardRun(now, e, h)
+		return t.handleNewIncarnation(now, e, h)
 	case h.Sequence <= e.sequence:
 		return Duplicate
 	}
-	t.keep(now, e, h)
+	t.update(now, e, h)
 	return Accepted
 }
 
-func (t *Table) heardSelf(h Heartbeat) Outcome {
+func (t *Table) handleOwn(h Heartbeat) Outcome {
 	switch {
 	case h.Incarnation > t.self.Incarnation:
 		return Replaced
@@ -92,33 +94,33 @@
 	return Duplicate
 }
 
-// heardRun takes the first heartbeat of a run.
+// handleNewIncarnation handles the first heartbeat of an incarnation.
 //
-// What goes wrong: an instance is killed and comes back under its ID and
-// address within the suspicion, and is taken for the one that held leases and
-// escrow. One would see work waiting for an owner that knows nothing of it. A
-// run with a larger incarnation therefore starts over as joining, and Tick
-// reports the run it replaced.
-func (t *Table) heardRun(now time.Time, e *entry, h Heartbeat) Outcome {
+// An instance may be killed and restart under its ID and address within the
+// suspicion timeout. If it were taken for the incarnation that held leases and
+// escrow, work would wait for an owner that doesn't know of it. So a newer
+// incarnation starts again as joining, and Tick reports the one it replaced.
+func (t *Table) handleNewIncarnation(now time.Time, e *entry, h Heartbeat) Outcome {
 	first := e.Incarnation == 0
 	e.Incarnation = h.Incarnation
-	e.shownRevision = 0
-	e.shownLeaving = false
+	e.sentRevision = 0
+	e.sentLeaving = false
 	e.Revision = 0
-	e.evidence = now
+	e.lastEvidence = now
 	if first {
-		t.keep(now, e, h)
+		t.update(now, e, h)
 		return Accepted
 	}
-	if e.owns() {
-		e.bury()
+	if e.isOwner() {
+		e.countDeath()
 	}
-	e.move(now, eventRestarted)
-	t.keep(now, e, h)
+	e.transition(now, eventRestarted)
+	t.update(now, e, h)
 	return Restarted
 }
 
-func (t *Table) keep(now time.Time, e *entry, h Heartbeat) {
+// update stores the content of a heartbeat and applies its event.
+func (t *Table) update(now time.Time, e *entry, h Heartbeat) {
 	e.sequence = h.Sequence
 	e.AvailabilityZone = h.AvailabilityZone
 	if h.Address != "" {
@@ -128,18 +130,18 @@
 	e.Revision = max(e.Revision, h.Revision)
 	e.Free = h.Free
 	e.Heard = now
-	e.evidence = now
+	e.lastEvidence = now
 	if h.Leaving {
-		e.move(now, eventLeaving)
+		e.transition(now, eventLeaving)
 		return
 	}
-	e.move(now, eventHeard)
-	t.me().move(now, eventHeard)
+	e.transition(now, eventHeard)
+	t.me().transition(now, eventHeard)
 }
 
-// Lost takes a refused connection: nobody listens at the member's address. It
-// becomes a suspect at once, and is declared dead unless it is heard before
-// the confirmation ends.
+// Lost handles a refused connection: nobody listens at the member's address.
+// The member becomes a suspect at once, and is declared dead unless a heartbeat
+// arrives before the confirmation ends.
 func (t *Table) Lost(now time.Time, id string) {
 	e, known := t.members[id]
 	if !known || id == t.self.ID {
@@ -147,31 +149,31 @@
 	}
 	t.suspect(now, e, eventRefused)
 	if e.State == Suspect {
-		e.expires = earlier(e.expires, now.Add(t.scale(t.confirmation, t.remote(e))))
+		e.confirmDeadline = earlier(e.confirmDeadline, now.Add(t.scale(t.confirmation, t.isRemote(e))))
 	}
 }
 
 func (t *Table) suspect(now time.Time, e *entry, ev event) {
-	if !e.move(now, ev) {
+	if !e.transition(now, ev) {
 		return
 	}
 	switch e.State {
 	case Suspect:
-		e.expires = now.Add(t.scale(t.confirmation, t.remote(e)))
+		e.confirmDeadline = now.Add(t.scale(t.confirmation, t.isRemote(e)))
 	case Dead:
-		e.bury()
+		e.countDeath()
 	}
 }
 
-// bury counts a death of a member that was heard.
-func (e *entry) bury() {
+// countDeath counts a death of a member that has sent a heartbeat.
+func (e *entry) countDeath() {
 	if !e.Heard.IsZero() {
 		e.Deaths++
 	}
 }
 
-// heard reports whether the member's own word is the newest there is.
-func (e *entry) heard() bool {
+// hasContact reports whether a heartbeat is the newest evidence of the member.
+func (e *entry) hasContact() bool {
 	switch e.State {
 	case Live, Joining, Leaving:
 		return !e.Heard.IsZero()
@@ -179,21 +181,22 @@
 	return false
 }
 
-// add makes room for a member, and returns nil when there is none.
+// add adds a member, or returns nil if the table is full.
 func (t *Table) add(now time.Time, id, zone string) *entry {
-	if len(t.members) >= t.limit && !t.evict() {
+	if len(t.members) >= t.limit && !t.evictOldest() {
 		return nil
 	}
-	e := &entry{Member: Member{ID: id, AvailabilityZone: zone, Since: now}, evidence: now, gone: now}
+	e := &entry{Member: Member{ID: id, AvailabilityZone: zone, Since: now}, lastEvidence: now, unlistedAt: now}
 	t.members[id] = e
 	return e
 }
 
-// evict forgets the unlisted dead or left member that was so for longest.
-func (t *Table) evict() bool {
+// evictOldest forgets the unlisted member that has been dead or left for
+// longest, and reports whether there was one.
+func (t *Table) evictOldest() bool {
 	var oldest *entry
 	for e := range t.others {
-		if e.forgettable() && (oldest == nil || e.Since.Before(oldest.Since)) {
+		if e.isForgettable() && (oldest == nil || e.Since.Before(oldest.Since)) {
 			oldest = e
 		}
 	}
@@ -204,10 +207,10 @@
 	return true
 }
 
-func (e *entry) forgettable() bool {
+func (e *entry) isForgettable() bool {
 	return !e.Listed && (e.State == Dead || e.State == Left)
 }
 
-func validName(s string) bool {
+func isValidName(s string) bool {
 	return s != "" && len(s) <= maxName
 }
--- a/member/option.go
+++ b/member/option.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Defaults. A dead instance of the same availability zone is declared so
-// after suspicion plus confirmation, a little before its leases of 6 s end.
+// Defaults. An instance of the same availability zone is declared dead after
+// suspicion plus confirmation (5 s), shortly before its leases of 6 s end.
 const (
 	defaultHeartbeat    = time.Second
 	defaultSuspicion    = 3 * time.Second
@@ -14,8 +14,8 @@
 	defaultLimit        = 256
 )
 
-// RemoteFactor is how much rarer heartbeats to other availability zones are,
-// unless set.
+// RemoteFactor is the default ratio of the heartbeat interval to other
+// availability zones to that within the zone.
 const RemoteFactor = 10
 
 // Bounds that are not settings.
@@ -24,7 +24,7 @@
 	maxName      = 128  // bytes of an ID, availability zone or address
 	maxDoublings = 3    // of the hysteresis after repeated deaths
 
-	forgiveFactor = 10 // a member live for this many hystereses has its deaths forgotten
+	resetFactor = 10 // a member's deaths are reset after it was live for this many times the hysteresis
 )
 
 type settings struct {
@@ -47,8 +47,8 @@
 }
 
 // WithRemoteHeartbeat sets the interval of heartbeats to other availability
-// zones; ten times that within the zone if unset. Suspicion and confirmation of their members are longer by the ratio
-// of the two intervals.
+// zones. The default is ten times that within the zone. Suspicion and
+// confirmation of their members are longer by the ratio of the two intervals.
 func WithRemoteHeartbeat(d time.Duration) Option {
 	return func(s *settings) { s.remoteHeartbeat = d }
 }
@@ -58,23 +58,27 @@
 	return func(s *settings) { s.suspicion = d }
 }
 
-// WithConfirmation sets how long a suspect has to be heard again.
+// WithConfirmation sets how long a suspect has to send a heartbeat before it is
+// declared dead.
 func WithConfirmation(d time.Duration) Option {
 	return func(s *settings) { s.confirmation = d }
 }
 
-// WithHysteresis sets how long a member must be heard steadily before it
-// owns workers. It doubles with each death that follows soon on another.
+// WithHysteresis sets how long a member must send heartbeats without a gap
+// before it owns workers. It doubles, at most three times, with each death that
+// soon follows another.
 func WithHysteresis(d time.Duration) Option {
 	return func(s *settings) { s.hysteresis = d }
 }
 
-// WithListGrace sets how long the first list is believed without evidence.
+// WithListGrace sets how long members of the first list count as owners without
+// a heartbeat.
 func WithListGrace(d time.Duration) Option {
 	return func(s *settings) { s.listGrace = d }
 }
 
-// WithRetention sets how long a dead member off the list is remembered.
+// WithRetention sets how long a dead or left member is kept after it is no
+// longer on the list.
 func WithRetention(d time.Duration) Option {
 	return func(s *settings) { s.retention = d }
 }
@@ -111,7 +115,8 @@
 	return s.heartbeat
 }
 
-// scale stretches a duration by the longer interval of remote heartbeats.
+// scale multiplies a duration by the ratio of the remote heartbeat interval to
+// the local one if the member is remote.
 func (s *settings) scale(d time.Duration, remote bool) time.Duration {
 	if !remote || s.heartbeat <= 0 {
 		return d
--- a/member/schedule.go
+++ b/member/schedule.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Due returns the peers to send a heartbeat to now: each by the interval of
-// its availability zone, and at once those that haven't been told that this
-// instance holds the revision, or that it is leaving.
+// Due returns the peers to send a heartbeat to now: each at the interval of its
+// availability zone, and immediately if it hasn't been told that this instance
+// holds the revision or is leaving.
 func (t *Table) Due(now time.Time, revision uint64) []string {
 	var ids []string
 	for e := range t.others {
-		if e.State == Left || !t.due(now, e, revision) {
+		if e.State == Left || !t.isDue(now, e, revision) {
 			continue
 		}
-		e.due = now.Add(t.interval(t.remote(e)))
-		e.shownRevision = revision
-		e.shownLeaving = t.me().State == Leaving
+		e.nextHeartbeatAt = now.Add(t.interval(t.isRemote(e)))
+		e.sentRevision = revision
+		e.sentLeaving = t.me().State == Leaving
 		ids = append(ids, e.ID)
 	}
 	return ids
 }
 
-func (t *Table) due(now time.Time, e *entry, revision uint64) bool {
-	news := (e.heard() || e.owns()) && revision > e.shownRevision
-	leaving := t.me().State == Leaving && !e.shownLeaving
-	return news || leaving || !now.Before(e.due)
+func (t *Table) isDue(now time.Time, e *entry, revision uint64) bool {
+	revisionPending := (e.hasContact() || e.isOwner()) && revision > e.sentRevision
+	leavingPending := t.me().State == Leaving && !e.sentLeaving
+	return revisionPending || leavingPending || !now.Before(e.nextHeartbeatAt)
 }
 
 // Heartbeat returns the next heartbeat of the instance itself.
--- a/member/strings.go
+++ b/member/strings.go
@@ -16,7 +16,7 @@
 	_ = x[Leaving-5]
 	_ = x[Left-6]
 	_ = x[Isolated-7]
-	_ = x[states-8]
+	_ = x[stateCount-8]
 }
 
 const _State_name = "unknownjoininglivesuspectdeadleavingleftisolatedstates"
--- a/member/table.go
+++ b/member/table.go
@@ -13,15 +13,15 @@
 	self     Self
 	members  map[string]*entry // the instance itself included
 	sequence uint64            // of its own heartbeats
-	seeded   bool              // the first list was taken
-	ticked   time.Time
+	hasList  bool              // a list with other instances was received
+	lastTick time.Time
 }
 
 // New returns a new Table that holds only the instance itself.
 func New(self Self, opts ...Option) *Table {
 	t := &Table{settings: newSettings(opts), self: self, members: map[string]*entry{}}
 	me := &entry{Member: Member{ID: self.ID, AvailabilityZone: self.AvailabilityZone, Incarnation: self.Incarnation}}
-	me.move(time.Time{}, eventStart)
+	me.transition(time.Time{}, eventStart)
 	t.members[self.ID] = me
 	return t
 }
@@ -30,16 +30,16 @@
 // workers: live ones, suspects, and the instance itself unless it is leaving.
 func (t *Table) Live(zone string) []string {
 	return t.collect(func(e *entry) bool {
-		return e.AvailabilityZone == zone && e.owns()
+		return e.AvailabilityZone == zone && e.isOwner()
 	})
 }
 
 // Lowest returns the lowest ID of an availability zone that isn't suspected,
-// and "" when there is none. It is a hint for who should propose: two
-// instances may both think they are the lowest.
+// and "" if there is none. It is a hint for who should propose: two instances
+// may both consider themselves the lowest.
 func (t *Table) Lowest(zone string) string {
 	ids := t.collect(func(e *entry) bool {
-		return e.AvailabilityZone == zone && e.owns() && e.State != Suspect
+		return e.AvailabilityZone == zone && e.isOwner() && e.State != Suspect
 	})
 	if len(ids) == 0 {
 		return ""
@@ -47,9 +47,9 @@
 	return ids[0]
 }
 
-// Missing returns the sorted IDs of members that haven't shown a
-// configuration of at least revision. A member that left counts no more, and
-// a dead one as long as the list shows it: it may only be out of reach.
+// Missing returns the sorted IDs of members that haven't announced a
+// configuration of at least revision. Members that left are omitted. A dead one
+// is included as long as it is listed: it may only be unreachable.
 func (t *Table) Missing(revision uint64) []string {
 	return t.collect(func(e *entry) bool {
 		gone := e.State == Left || e.State == Dead && !e.Listed
@@ -68,15 +68,15 @@
 	return members
 }
 
-// Isolated reports whether the instance hears nobody although it knows of
-// others. It keeps its place among the owners.
+// Isolated reports whether the instance receives no heartbeats although it
+// knows of others. It stays among the owners.
 func (t *Table) Isolated() bool {
 	return t.me().State == Isolated
 }
 
-// Leave notes that the instance itself is leaving.
+// Leave marks the instance itself as leaving.
 func (t *Table) Leave() {
-	t.me().move(t.ticked, eventLeaving)
+	t.me().transition(t.lastTick, eventLeaving)
 }
 
 func (t *Table) me() *entry {
@@ -94,8 +94,8 @@
 	return ids
 }
 
-// remote reports whether a member is of another availability zone.
-func (t *Table) remote(e *entry) bool {
+// isRemote reports whether a member is in another availability zone.
+func (t *Table) isRemote(e *entry) bool {
 	return e.AvailabilityZone != t.self.AvailabilityZone
 }
 
--- a/member/tick.go
+++ b/member/tick.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Tick moves members by the time that passed, and returns what changed since
-// the last call, at most one Change for each member.
+// Tick applies all timeouts that are due and returns the changes since the last
+// call, at most one Change for each member.
 func (t *Table) Tick(now time.Time) []Change {
-	t.forgivePause(now)
+	t.compensatePause(now)
 	for e := range t.others {
-		t.age(now, e)
+		t.applyTimeouts(now, e)
 	}
-	t.judgeSelf(now)
-	return t.report()
+	t.checkIsolation(now)
+	return t.collectChanges()
 }
 
-// forgivePause moves all deadlines by the time in which the instance itself
-// stood still.
+// compensatePause moves all deadlines by the time for which the instance itself
+// was paused.
 //
-// What goes wrong: the process is paused, and on waking takes its own silence
-// for everybody's. One would see all members die at once after a pause, and
-// workers taken from healthy owners. Time in which no tick ran therefore
-// counts for nobody's silence.
-func (t *Table) forgivePause(now time.Time) {
-	before := t.ticked
-	t.ticked = now
+// A process that was paused has received no heartbeats meanwhile. If that time
+// counted as silence, all members would die at once after a pause, and workers
+// would be taken from healthy owners. So time without a tick counts as nobody's
+// silence.
+func (t *Table) compensatePause(now time.Time) {
+	before := t.lastTick
+	t.lastTick = now
 	if before.IsZero() {
 		return
 	}
@@ -31,101 +31,104 @@
 		return
 	}
 	for e := range t.others {
-		e.evidence = earlier(now, e.evidence.Add(pause))
-		e.expires = e.expires.Add(pause)
+		e.lastEvidence = earlier(now, e.lastEvidence.Add(pause))
+		e.confirmDeadline = e.confirmDeadline.Add(pause)
 		if e.State == Joining {
 			e.Since = e.Since.Add(pause)
 		}
 	}
 }
 
-func (t *Table) age(now time.Time, e *entry) {
-	remote := t.remote(e)
+// applyTimeouts applies the timeouts of one member.
+func (t *Table) applyTimeouts(now time.Time, e *entry) {
+	remote := t.isRemote(e)
 	switch e.State {
 	case Joining:
-		t.ageJoining(now, e)
+		t.applyJoiningTimeouts(now, e)
 	case Live:
-		t.forgive(now, e)
-		if e.silent(now, t.scale(t.suspicion, remote)) {
+		t.resetDeaths(now, e)
+		if e.isSilent(now, t.scale(t.suspicion, remote)) {
 			t.suspect(now, e, eventSilent)
 		}
 	case Suspect:
-		// A suspect that the list dropped after showing it needs no further
+		// A suspect that was also removed from the list needs no further
 		// confirmation: two kinds of evidence agree.
-		if e.delisted || !now.Before(e.expires) {
-			e.move(now, eventExpired)
-			e.bury()
+		if e.delisted || !now.Before(e.confirmDeadline) {
+			e.transition(now, eventExpired)
+			e.countDeath()
 		}
 	case Leaving:
-		if e.silent(now, t.scale(t.suspicion, remote)) {
-			e.move(now, eventSilent)
+		if e.isSilent(now, t.scale(t.suspicion, remote)) {
+			e.transition(now, eventSilent)
 		}
 	case Dead, Left:
-		if e.forgettable() && now.Sub(later(e.Since, e.gone)) > t.retention {
+		if e.isForgettable() && now.Sub(later(e.Since, e.unlistedAt)) > t.retention {
 			delete(t.members, e.ID)
 		}
 	}
 }
 
-func (t *Table) ageJoining(now time.Time, e *entry) {
-	patience := t.scale(t.suspicion, t.remote(e))
+func (t *Table) applyJoiningTimeouts(now time.Time, e *entry) {
+	timeout := t.scale(t.suspicion, t.isRemote(e))
 	if e.Heard.IsZero() {
-		patience = max(patience, t.listGrace)
+		timeout = max(timeout, t.listGrace)
 	}
 	switch {
-	case e.silent(now, patience):
+	case e.isSilent(now, timeout):
 		t.suspect(now, e, eventSilent)
-	case !e.Heard.IsZero() && e.Heard.Sub(e.Since) >= t.steadiness(e):
-		e.move(now, eventSteady)
+	case !e.Heard.IsZero() && e.Heard.Sub(e.Since) >= t.joinDelay(e):
+		e.transition(now, eventSteady)
 	}
 }
 
-// steadiness returns how long a joining member must be heard.
+// joinDelay returns how long a joining member must send heartbeats before it
+// becomes live.
 //
-// What goes wrong: a link that works for a little longer than the hysteresis
-// and then fails again moves workers at each turn. One would see the same
-// transfers in a rhythm. The hysteresis therefore doubles with each death
-// that follows soon on another.
-func (t *Table) steadiness(e *entry) time.Duration {
+// A link that works for slightly longer than the hysteresis and then fails
+// again would move the same workers in each cycle. So the hysteresis doubles
+// with each death that soon follows another.
+func (t *Table) joinDelay(e *entry) time.Duration {
 	return t.hysteresis << min(max(e.Deaths-1, 0), maxDoublings)
 }
 
-func (t *Table) forgive(now time.Time, e *entry) {
-	if now.Sub(e.Since) >= forgiveFactor*t.hysteresis {
+func (t *Table) resetDeaths(now time.Time, e *entry) {
+	if now.Sub(e.Since) >= resetFactor*t.hysteresis {
 		e.Deaths = 0
 	}
 }
 
-// judgeSelf marks the instance itself isolated when it hears nobody although
-// it knows of others. An instance that nobody else is listed beside is alone,
-// not isolated.
-func (t *Table) judgeSelf(now time.Time) {
+// checkIsolation marks the instance itself isolated if it receives no
+// heartbeats although other members were heard before or are listed. An
+// instance that is the only one on the list is alone, not isolated.
+func (t *Table) checkIsolation(now time.Time) {
 	missed := false
 	for e := range t.others {
-		if e.heard() {
+		if e.hasContact() {
 			return
 		}
 		missed = missed || e.State == Suspect && !e.Heard.IsZero() || e.State == Dead && e.Listed
 	}
 	if missed {
-		t.me().move(now, eventAlone)
+		t.me().transition(now, eventAlone)
 	}
 }
 
-func (t *Table) report() []Change {
+// collectChanges returns the members whose state or incarnation differs from
+// the last one returned.
+func (t *Table) collectChanges() []Change {
 	var changes []Change
-	for _, id := range t.collect(func(e *entry) bool { return e.State != e.reported || e.Incarnation != e.incarnation }) {
+	for _, id := range t.collect(func(e *entry) bool { return e.State != e.reportedState || e.Incarnation != e.reportedIncarnation }) {
 		e := t.members[id]
 		changes = append(changes, Change{
 			ID:               e.ID,
 			AvailabilityZone: e.AvailabilityZone,
 			Incarnation:      e.Incarnation,
-			Before:           e.incarnation,
-			From:             e.reported,
+			Before:           e.reportedIncarnation,
+			From:             e.reportedState,
 			To:               e.State,
 		})
-		e.reported = e.State
-		e.incarnation = e.Incarnation
+		e.reportedState = e.State
+		e.reportedIncarnation = e.Incarnation
 	}
 	return changes
 }
--- a/zone/attempt.go
+++ b/zone/attempt.go
@@ -18,7 +18,7 @@
 )
 
 // currentAttempt returns the task of a if it hasn't ended and a is its
-// currentAttempt attempt, and otherwise the reason why a is refused.
+// current attempt, and otherwise the reason why a is refused.
 func (s *State) currentAttempt(a record.Attempt) (*task, Reason) {
 	t := s.tasks[a.Task]
 	if t == nil {
--- a/zone/claim.go
+++ b/zone/claim.go
@@ -4,10 +4,10 @@
 
 // applyClaim moves queued tasks into the writer's escrow.
 //
-// Two instances may applyClaim the same task, or the last of a group's share, at
+// Two instances may claim the same task, or the last of a group's share, at
 // the same time; accepting both would run a task twice or take the group above
 // its limit. Claims are checked against the state at their own offset, so every
-// instance accepts the applyClaim with the lower offset.
+// instance accepts the claim with the lower offset.
 func (s *State) applyClaim(writer *incarnation, body *record.Claim, o *Outcome) {
 	taken := 0
 	for _, id := range body.Tasks {
--- a/zone/group.go
+++ b/zone/group.go
@@ -109,7 +109,7 @@
 	return true
 }
 
-// ensureGroup returns the named ensureGroup and creates it if it is unknown.
+// ensureGroup returns the named group and creates it if it is unknown.
 func (s *State) ensureGroup(name string) *group {
 	g := s.groups[name]
 	if g == nil {
--- a/zone/model_test.go
+++ b/zone/model_test.go
@@ -275,7 +275,7 @@
 	return fresh && p.isRecordedOwner(s)
 }
 
-// isRecordedOwner reports whether p is the isRecordedOwner owner of s at its current
+// isRecordedOwner reports whether p is the recorded owner of s at its current
 // epoch.
 func (p *process) isRecordedOwner(s *server) bool {
 	worker, _ := p.state.Worker(s.id)
--- a/zone/restore.go
+++ b/zone/restore.go
@@ -90,12 +90,12 @@
 		if !isValidName(w.ID) || len(i.incarnations) > 0 && i.newest().writer.Incarnation >= w.Incarnation {
 			return inconsistent("instance", w.ID)
 		}
-		by := &incarnation{
+		restored := &incarnation{
 			writer: w, sequence: image.Sequence, lastRecordAt: image.Seen, fenced: image.Fenced, fencedAt: image.FencedAt,
 			workers: map[string]*worker{},
 		}
-		i.incarnations = append(i.incarnations, by)
-		r.incarnationsAt = append(r.incarnationsAt, by)
+		i.incarnations = append(i.incarnations, restored)
+		r.incarnationsAt = append(r.incarnationsAt, restored)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// restoreTask returns the restoreTask of a snapshot if its fields are consistent with
+// restoreTask returns the task of a snapshot if its fields are consistent with
 // each other and with the tasks before it.
 func (r *restorer) restoreTask(image *snapshotTask) (*task, bool) {
 	owner, ok := r.incarnationAt(image.Owner)
--- a/zone/state.go
+++ b/zone/state.go
@@ -85,23 +85,23 @@
 	return o
 }
 
-// applyRecord applies a record if its writer may applyRecord and its sequence is new.
+// applyRecord applies a record if its writer may write and its sequence is new.
 func (s *State) applyRecord(offset uint64, r *record.Record, o *Outcome) {
-	by := s.admitWriter(offset, r.Writer, o)
-	if by == nil {
+	writer := s.admitWriter(offset, r.Writer, o)
+	if writer == nil {
 		return
 	}
-	by.lastRecordAt = s.now
-	if r.Sequence <= by.sequence {
+	writer.lastRecordAt = s.now
+	if r.Sequence <= writer.sequence {
 		o.Effect = Repeated
 		return
 	}
-	by.sequence = r.Sequence
+	writer.sequence = r.Sequence
 	if countBodies(r) != 1 {
 		o.void(Malformed, "not one body")
 		return
 	}
-	s.applyBody(offset, by, r, o)
+	s.applyBody(offset, writer, r, o)
 }
 
 func (s *State) applyBody(offset uint64, writer *incarnation, r *record.Record, o *Outcome) {
