--- a/peer/accept.go
+++ b/peer/accept.go
@@ -10,10 +10,10 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// ServeHTTP accepts a link; mount it at Path on the peer listener. It returns
-// when the link ends.
+// ServeHTTP accepts a connection; mount it at Path on the peer listener. It
+// returns when the connection ends.
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	t, ok := m.begin()
+	t, ok := m.beginServing()
 	if !ok {
 		http.Error(w, "not running", http.StatusServiceUnavailable)
 		return
@@ -24,23 +24,23 @@
 		return // Accept has answered
 	}
 	defer func() { _ = socket.CloseNow() }()
-	remote, err := m.greeted(t, socket)
+	remote, err := m.receiveHello(t, socket)
 	if err != nil {
 		return
 	}
-	l := m.enter(remote.ID)
+	l := m.acquireLink(remote.ID)
 	if l == nil {
 		return // above the bound on links
 	}
-	defer m.leave(l)
+	defer m.releaseLink(l)
 	c := newConnection(l, socket, remote, false)
 	if err := c.admit(t); err == nil {
 		c.serve(t)
 	}
 }
 
-// greeted reads the hello of whoever dialed.
-func (m *Mesh) greeted(t *tomb.Tomb, socket *websocket.Conn) (hello, error) {
+// receiveHello reads and checks the hello of the dialing instance.
+func (m *Mesh) receiveHello(t *tomb.Tomb, socket *websocket.Conn) (hello, error) {
 	socket.SetReadLimit(MaxFrame)
 	ctx, cancel := context.WithTimeout(t.Context(context.Background()), m.timeout)
 	defer cancel()
@@ -49,13 +49,13 @@
 		return hello{}, err
 	}
 	if remote.To != m.self.ID || remote.ID == m.self.ID {
-		_ = writeHello(ctx, socket, m.hello(remote.ID)) // so that the dialer sees whom it reached
-		return hello{}, errOther
+		_ = writeHello(ctx, socket, m.newHello(remote.ID)) // tells the dialer which instance it reached
+		return hello{}, errWrongInstance
 	}
 	return remote, nil
 }
 
-// admit takes an accepted connection for its link and answers the hello.
+// admit attaches an accepted connection to its link and answers the hello.
 func (c *connection) admit(t *tomb.Tomb) error {
 	if err := c.link.attach(c); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	m := c.link.mesh
 	ctx, cancel := context.WithTimeout(t.Context(context.Background()), m.timeout)
 	defer cancel()
-	err := writeHello(ctx, c.socket, m.hello(c.link.id))
+	err := writeHello(ctx, c.socket, m.newHello(c.link.id))
 	if err != nil {
 		c.link.detach(c, err)
 		close(c.done)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return hello{}, err
 	}
-	if f.Hello == nil || !f.Hello.valid() {
+	if f.Hello == nil || !f.Hello.isValid() {
 		return hello{}, fault.New(fault.Invalid, "a link that doesn't begin with a hello")
 	}
 	return *f.Hello, nil
--- a/peer/beat.go
+++ b/peer/beat.go
@@ -7,45 +7,46 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// maxNames bounds the service names that one link has seen. A link that goes
-// above it is made anew.
+// maxNames bounds the service names sent on one connection. A connection that
+// exceeds it is closed and replaced.
 const maxNames = 4 * maxFree
 
-// coarseness is how exact free slots are told: a change below an eighth isn't.
-// Up to eight slots, and whether there are any, are exact. Under load the free
-// slots of every service change all the time by a little.
-const coarseness = 8
+// freeSlotPrecision is the inverse of the relative change in free slots below which no
+// update is sent: less than an eighth. Up to eight slots, and whether there are
+// any, are exact. Under load the free slots of every service change constantly
+// by small amounts.
+const freeSlotPrecision = 8
 
-// beat is a heartbeat as sent: what changed since the one before on the same
-// link. The sender's name is in its hello.
+// beat is the delta encoding of a heartbeat against the previous one on the
+// same connection. The sender's identity is in its hello.
 type beat struct {
 	Sequence uint64       `cbor:"1,keyasint"`
 	Leaving  bool         `cbor:"2,keyasint,omitempty"`
 	Address  *string      `cbor:"3,keyasint,omitempty"`
 	Revision *uint64      `cbor:"4,keyasint,omitempty"`
 	Digest   *string      `cbor:"5,keyasint,omitempty"`
-	Names    []string     `cbor:"6,keyasint,omitempty"` // numbered on from those sent before
+	Names    []string     `cbor:"6,keyasint,omitempty"` // new names, numbered consecutively after those sent before
 	Free     map[uint]int `cbor:"7,keyasint,omitempty"` // by number
-	Gone     []uint       `cbor:"8,keyasint,omitempty"` // numbers of services no longer there
+	Gone     []uint       `cbor:"8,keyasint,omitempty"` // numbers of removed services
 }
 
-// beatWriter turns heartbeats into beats of one link.
+// beatWriter encodes the heartbeats of one connection as beats.
 type beatWriter struct {
-	numbers map[string]uint
-	told    map[string]int // free slots as the reader has them
-	last    Heartbeat
-	begun   bool
+	numbers  map[string]uint
+	sentFree map[string]int // free slots that the reader has
+	last     Heartbeat
+	hasLast  bool
 }
 
 func (w *beatWriter) write(h Heartbeat) (*beat, error) {
 	b := &beat{Sequence: h.Sequence, Leaving: h.Leaving}
-	if !w.begun || h.Address != w.last.Address {
+	if !w.hasLast || h.Address != w.last.Address {
 		b.Address = &h.Address
 	}
-	if !w.begun || h.Revision != w.last.Revision {
+	if !w.hasLast || h.Revision != w.last.Revision {
 		b.Revision = &h.Revision
 	}
-	if !w.begun || h.Digest != w.last.Digest {
+	if !w.hasLast || h.Digest != w.last.Digest {
 		b.Digest = &h.Digest
 	}
 	w.writeFree(b, h.Free)
@@ -53,35 +54,35 @@
 		return nil, fault.New(fault.TooLarge, "more than %d service names on one link", maxNames)
 	}
 	w.last = h
-	w.begun = true
+	w.hasLast = true
 	return b, nil
 }
 
 func (w *beatWriter) writeFree(b *beat, free map[string]int) {
 	if w.numbers == nil {
 		w.numbers = map[string]uint{}
-		w.told = map[string]int{}
+		w.sentFree = map[string]int{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(free)) {
-		told, known := w.told[name]
-		if known && !significant(told, free[name]) {
+		told, known := w.sentFree[name]
+		if known && !isSignificant(told, free[name]) {
 			continue
 		}
 		if b.Free == nil {
 			b.Free = map[uint]int{}
 		}
 		b.Free[w.number(b, name)] = free[name]
-		w.told[name] = free[name]
+		w.sentFree[name] = free[name]
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.told)) {
+	for _, name := range slices.Sorted(maps.Keys(w.sentFree)) {
 		if _, still := free[name]; !still {
 			b.Gone = append(b.Gone, w.numbers[name])
-			delete(w.told, name)
+			delete(w.sentFree, name)
 		}
 	}
 }
 
-// number returns the number of a service, and tells the reader a new one.
+// number returns the number of a service, and adds a new name to the beat.
 func (w *beatWriter) number(b *beat, name string) uint {
 	n, known := w.numbers[name]
 	if !known {
@@ -92,11 +93,11 @@
 	return n
 }
 
-func significant(told, now int) bool {
-	return told != now && max(told-now, now-told)*coarseness >= told
+func isSignificant(told, now int) bool {
+	return told != now && max(told-now, now-told)*freeSlotPrecision >= told
 }
 
-// beatReader turns the beats of one link back into heartbeats.
+// beatReader decodes the beats of one connection.
 type beatReader struct {
 	names []string
 	last  Heartbeat
@@ -124,9 +125,9 @@
 	h.Sequence = b.Sequence
 	h.Leaving = b.Leaving
 	h.Free = free
-	replace(&h.Address, b.Address)
-	replace(&h.Revision, b.Revision)
-	replace(&h.Digest, b.Digest)
+	setIfPresent(&h.Address, b.Address)
+	setIfPresent(&h.Revision, b.Revision)
+	setIfPresent(&h.Digest, b.Digest)
 	if len(h.Address) > maxName || len(h.Digest) > maxName {
 		return Heartbeat{}, fault.New(fault.TooLarge, "heartbeat with a long address or digest")
 	}
@@ -154,7 +155,7 @@
 	return free, nil
 }
 
-func replace[T any](field, value *T) {
+func setIfPresent[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -7,7 +7,7 @@
 )
 
 // Version is the newest version of the messages between instances that this
-// program speaks. Both ends of a link use the lower of theirs.
+// program supports. Both ends of a link use the lower of their versions.
 const Version = 1
 
 // Bounds of a frame.
@@ -25,15 +25,15 @@
 	ID               string `cbor:"2,keyasint"`
 	AvailabilityZone string `cbor:"3,keyasint"`
 	Incarnation      uint64 `cbor:"4,keyasint"`
-	To               string `cbor:"5,keyasint,omitempty"` // whom the dialer means to reach
+	To               string `cbor:"5,keyasint,omitempty"` // ID of the instance that the dialer expects
 }
 
-func (h *hello) valid() bool {
+func (h *hello) isValid() bool {
 	return h.Version > 0 && h.ID != "" && len(h.ID) <= maxName && len(h.AvailabilityZone) <= maxName
 }
 
-// frame is what one WebSocket message holds: one body, or none that this
-// version knows.
+// frame is the content of one WebSocket message. It has one body, or none that
+// this version knows.
 type frame struct {
 	Hello         *hello         `cbor:"1,keyasint,omitempty"`
 	Beat          *beat          `cbor:"2,keyasint,omitempty"`
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func frameOf(m Message) (frame, error) {
+func newFrame(m Message) (frame, error) {
 	switch m := m.(type) {
 	case ConfigRequest:
 		return frame{ConfigRequest: &m}, nil
@@ -94,7 +94,7 @@
 	return data, nil
 }
 
-// decode reads a frame. Keys of newer versions are passed over.
+// decode decodes a frame. Keys of newer versions are ignored.
 func decode(data []byte) (frame, error) {
 	var f frame
 	if len(data) > MaxFrame {
--- a/peer/codec_test.go
+++ b/peer/codec_test.go
@@ -17,9 +17,9 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// Symptom: forwarding follows slots that a peer doesn't have.
-// Sequence: any series of heartbeats on one link, services coming and going.
-// Cause: the changes that were sent don't add up to the whole.
+// For any series of heartbeats on one connection, with services coming and
+// going, the deltas must add up to the full heartbeat. Otherwise requests would
+// be forwarded to slots that a peer doesn't have.
 func TestBeatsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w beatWriter
@@ -53,7 +53,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !maps.EqualFunc(got.Free, h.Free, near) || got.Sequence != h.Sequence || got.Revision != h.Revision ||
+			if !maps.EqualFunc(got.Free, h.Free, isNear) || got.Sequence != h.Sequence || got.Revision != h.Revision ||
 				got.Leaving != h.Leaving || got.Address != h.Address || got.Incarnation != h.Incarnation {
 				t.Fatalf("sent %+v, got %+v", h, got)
 			}
@@ -61,22 +61,21 @@
 	})
 }
 
-// near reports whether a number of slots was told closely enough.
-func near(got, sent int) bool {
+// isNear reports whether a decoded number of slots is within the tolerance.
+func isNear(got, sent int) bool {
 	if sent <= 7 || got <= 7 {
 		return got == sent
 	}
 	return max(got-sent, sent-got)*8 < got
 }
 
-// Symptom: an instance grows until it is killed.
-// Sequence: a peer sends ever new service names on one link, or ever more
-// services.
-// Cause: each beat was within bounds, their sum was not.
+// A peer sends new service names on one connection, or more and more services.
+// If only single beats were bounded and not their sum, the memory of an instance
+// would grow until it is killed.
 func TestReaderIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		gone bool // each beat takes the services before it away
+		gone bool // each beat removes the services of the previous one
 	}{
 		{"names", true},
 		{"services", false},
@@ -103,11 +102,11 @@
 	}
 }
 
-// The bytes of a heartbeat decide the intervals.
+// The heartbeat intervals are based on these sizes.
 func TestHeartbeatSize(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		services, changed, most int
+		services, changed, maxSize int
 	}{
 		{40, 0, 16},
 		{40, 5, 40},
@@ -115,11 +114,12 @@
 	} {
 		size := heartbeatSize(c.services, c.changed)
 		t.Logf("%d of %d services changed: %d bytes with framing", c.changed, c.services, size)
-		is.True(size <= c.most)
+		is.True(size <= c.maxSize)
 	}
 }
 
-// heartbeatSize returns the bytes of a heartbeat long after the link began.
+// heartbeatSize returns the size of a heartbeat after the first one on a
+// connection, in bytes.
 func heartbeatSize(services, changed int) int {
 	var w beatWriter
 	free := map[string]int{}
@@ -146,7 +146,7 @@
 	return frameSize(len(data), true)
 }
 
-// A frame of a newer version keeps what this one knows.
+// Unknown keys in a frame of a newer version are ignored and the known ones kept.
 func TestUnknownKeys(t *testing.T) {
 	is := is.New(t)
 	data, err := encoder.Marshal(map[int]any{5: map[int]any{1: "w", 2: 9, 77: "new"}, 99: []int{1}})
@@ -161,8 +161,8 @@
 	is.Equal(f.message(), nil)
 }
 
-// No frame makes the decoder fail other than by an error, what it takes stays
-// within the bounds, and what it takes it gives back the same.
+// The decoder must reject any bad frame with an error, respect the bounds, and
+// round-trip the frames that it accepts.
 func FuzzDecode(f *testing.F) {
 	seeds, err := filepath.Glob("testdata/frames/*.cbor")
 	if err != nil || len(seeds) == 0 {
--- a/peer/connection.go
+++ b/peer/connection.go
@@ -10,8 +10,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// silenceChecks is how often within a silence bound silence is looked for, so
-// that it is found after at most 1.25 times the bound.
+// silenceChecks is the number of checks within a silence timeout, so that
+// silence is detected after at most 1.25 times the timeout.
 const silenceChecks = 4
 
 // Sizes of a WebSocket frame's header (RFC 6455, 5.2).
@@ -19,51 +19,51 @@
 	smallHeader  = 2
 	mediumHeader = 4
 	largeHeader  = 10
-	maskSize     = 4 // what a client sends is masked
+	maskSize     = 4 // only frames from the client are masked
 	smallPayload = 125
 	mediumMax    = 1<<16 - 1
 )
 
 // connection is one WebSocket connection with a peer.
 type connection struct {
-	link   *link
-	socket *websocket.Conn
-	remote hello
-	dialed bool // by this instance
-	tomb   tomb.Tomb
-	done   chan struct{} // closed after the last event
-	asked  chan struct{} // wakes confirm
-	writer beatWriter
-	reader beatReader
+	link             *link
+	socket           *websocket.Conn
+	remote           hello
+	dialed           bool // by this instance
+	tomb             tomb.Tomb
+	done             chan struct{} // closed after the last event
+	confirmRequested chan struct{} // wakes confirm
+	writer           beatWriter
+	reader           beatReader
 
-	mu         sync.Mutex
-	heard      time.Time
-	delivering bool      // the receiver is waited for
-	owed       time.Time // since when a confirmation is waited for, zero for none
+	mu               sync.Mutex
+	lastReceived     time.Time
+	delivering       bool      // a message waits for the receiver
+	unconfirmedSince time.Time // when the oldest unconfirmed message was written, zero for none
 }
 
 func newConnection(l *link, socket *websocket.Conn, remote hello, dialed bool) *connection {
 	return &connection{
-		link:   l,
-		socket: socket,
-		remote: remote,
-		dialed: dialed,
-		done:   make(chan struct{}),
-		asked:  make(chan struct{}, 1),
-		heard:  time.Now(),
+		link:             l,
+		socket:           socket,
+		remote:           remote,
+		dialed:           dialed,
+		done:             make(chan struct{}),
+		confirmRequested: make(chan struct{}, 1),
+		lastReceived:     time.Now(),
 	}
 }
 
-// byLower reports whether the instance with the lower ID dialed.
-func (c *connection) byLower() bool {
+// isDialedByLower reports whether the instance with the lower ID dialed.
+func (c *connection) isDialedByLower() bool {
 	return c.dialed == (c.link.mesh.self.ID < c.remote.ID)
 }
 
-// serve runs the connection to its end and reports whether anything was
+// serve runs the connection until it ends and reports whether anything was
 // received on it.
 func (c *connection) serve(mesh *tomb.Tomb) bool {
 	m := c.link.mesh
-	begun := c.lastHeard()
+	startedAt := c.lastContact()
 	m.emit(mesh, Received{From: c.link.id, Message: Linked{}})
 	ctx := c.tomb.Context(mesh.Context(context.Background()))
 	c.tomb.Go(func() error {
@@ -77,20 +77,20 @@
 	c.link.detach(c, err)
 	m.emit(mesh, Received{From: c.link.id, Message: Unlinked{Reason: err.Error()}})
 	close(c.done)
-	return c.lastHeard().After(begun)
+	return c.lastContact().After(startedAt)
 }
 
-// watch ends a connection on which nothing is heard, or something sent isn't
-// confirmed.
+// watch closes a connection on which nothing is received, or on which a
+// message isn't confirmed.
 //
-// What goes wrong: something between the two ends loses track of the
-// connection, which then stays open and carries nothing, while a new one would
-// work. One would see a peer suspected that others hear well. No read or write
-// fails for a long time, so silence itself ends the connection.
+// A device between the two ends may lose the state of the connection, which
+// then stays open but carries nothing, while a new one would work. No read or
+// write fails for a long time, and a healthy peer would be suspected. So the
+// connection is closed after a period of silence.
 func (c *connection) watch(mesh *tomb.Tomb) error {
-	bound := c.link.silence()
-	owing := c.link.mesh.settings.silence
-	ticker := time.NewTicker(min(bound, owing) / silenceChecks)
+	bound := c.link.silenceTimeout()
+	confirmTimeout := c.link.mesh.settings.silenceTimeout
+	ticker := time.NewTicker(min(bound, confirmTimeout) / silenceChecks)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,39 +99,40 @@
 		case <-mesh.Dying():
 			return errors.New("shutting down")
 		case <-ticker.C:
-			if c.silent(bound, owing) {
+			if c.isSilent(bound, confirmTimeout) {
 				return errSilent
 			}
 		}
 	}
 }
 
-func (c *connection) silent(bound, owing time.Duration) bool {
+func (c *connection) isSilent(bound, confirmTimeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.delivering {
 		return false
 	}
-	unconfirmed := !c.owed.IsZero() && time.Since(c.owed) >= owing
-	return unconfirmed || time.Since(c.heard) >= bound
+	unconfirmed := !c.unconfirmedSince.IsZero() && time.Since(c.unconfirmedSince) >= confirmTimeout
+	return unconfirmed || time.Since(c.lastReceived) >= bound
 }
 
-// owe asks for a confirmation of what was just written.
+// requestConfirmation requests a confirmation of the message just written.
 //
-// What goes wrong: a new configuration or a command is written to a connection
-// that has gone silent, and heartbeats across zones are so rare that this is
-// found long after the configuration had to be in force. One would see a zone
-// that can't reach the log stay behind although new connections to it work. So
-// a ping follows whatever isn't a routine heartbeat, and its pong, which proves
-// that all before it arrived, must come within the silence bound of the zone.
-func (c *connection) owe() {
+// A new configuration or a command may be written to a connection that has gone
+// silent. Heartbeats across zones are so rare that this would be detected long
+// after the configuration had to be in force, and a zone that can't reach the
+// log would stay behind although new connections to it work. So a ping follows
+// every message other than a routine heartbeat. Its pong, which proves that
+// everything before it arrived, must come within the silence timeout of the
+// zone.
+func (c *connection) requestConfirmation() {
 	c.mu.Lock()
-	if c.owed.IsZero() {
-		c.owed = time.Now()
+	if c.unconfirmedSince.IsZero() {
+		c.unconfirmedSince = time.Now()
 	}
 	c.mu.Unlock()
 	select {
-	case c.asked <- struct{}{}:
+	case c.confirmRequested <- struct{}{}:
 	default:
 	}
 }
@@ -142,29 +143,30 @@
 		select {
 		case <-c.tomb.Dying():
 			return nil
-		case <-c.asked:
+		case <-c.confirmRequested:
 		}
 		if err := c.socket.Ping(ctx); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.heard = time.Now()
-		c.owed = time.Time{}
+		c.lastReceived = time.Now()
+		c.unconfirmedSince = time.Time{}
 		c.mu.Unlock()
 	}
 }
 
-func (c *connection) lastHeard() time.Time {
+func (c *connection) lastContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.lastReceived
 }
 
-// note marks that something was heard, and whether it is being delivered.
-func (c *connection) note(delivering bool) {
+// recordContact records that a frame was received, and whether its delivery is
+// in progress.
+func (c *connection) recordContact(delivering bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = time.Now()
+	c.lastReceived = time.Now()
 	c.delivering = delivering
 }
 
@@ -174,12 +176,12 @@
 		if err != nil {
 			return err
 		}
-		c.note(true)
-		c.link.count(0, frameSize(len(data), !c.dialed))
+		c.recordContact(true)
+		c.link.countBytes(0, frameSize(len(data), !c.dialed))
 		if err := c.deliver(data); err != nil {
 			return err
 		}
-		c.note(false)
+		c.recordContact(false)
 	}
 }
 
@@ -194,7 +196,7 @@
 			return err
 		}
 	}
-	if message != nil { // nil is of a newer version
+	if message != nil { // nil if the body is of a newer version
 		c.link.mesh.emit(&c.tomb, Received{From: c.link.id, Message: message})
 	}
 	return nil
@@ -218,15 +220,15 @@
 			return err
 		}
 		if !routine {
-			c.owe()
+			c.requestConfirmation()
 		}
 	}
 }
 
-// nextFrame returns what is to be written next, nil for nothing, and whether
-// it is a heartbeat without news. What changed since the last heartbeat is
-// found here, so that heartbeats which were replaced while they waited leave
-// no gap.
+// nextFrame returns the next frame to write, nil if there is none, and whether
+// it is a routine heartbeat: one without a new revision or leaving. The delta is
+// computed here, against the last heartbeat written, so that heartbeats replaced
+// in the queue leave no gap.
 func (c *connection) nextFrame() (data []byte, routine bool, err error) {
 	h, data := c.link.next()
 	if h == nil {
@@ -243,7 +245,7 @@
 func (c *connection) writeFrame(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, c.link.mesh.timeout)
 	defer cancel()
-	c.link.count(frameSize(len(data), c.dialed), 0)
+	c.link.countBytes(frameSize(len(data), c.dialed), 0)
 	return c.socket.Write(ctx, websocket.MessageBinary, data)
 }
 
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -17,18 +17,18 @@
 func (l *link) dialLoop(t *tomb.Tomb) error {
 	defer l.endDialing()
 	failures := 0
-	for t.Alive() && l.wanted() {
+	for t.Alive() && l.isListed() {
 		l.mu.Lock()
-		moved, up := l.moved, l.current != nil
+		changed, up := l.changed, l.current != nil
 		l.mu.Unlock()
 		if up {
-			wait(t, moved, nil)
+			waitForChange(t, changed, nil)
 			continue
 		}
 		timer := time.NewTimer(l.backoff(failures))
-		moving := wait(t, moved, timer.C)
+		isChanged := waitForChange(t, changed, timer.C)
 		timer.Stop()
-		if moving {
+		if isChanged {
 			continue
 		}
 		if l.dial(t) {
@@ -44,24 +44,24 @@
 	l.mesh.mu.Lock()
 	defer l.mesh.mu.Unlock()
 	l.dialing = false
-	l.mesh.forget(l)
+	l.mesh.removeIfUnused(l)
 	select { // the peer may have been listed again meanwhile
-	case l.mesh.changed <- struct{}{}:
+	case l.mesh.peersChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (l *link) wanted() bool {
+func (l *link) isListed() bool {
 	l.mesh.mu.Lock()
 	defer l.mesh.mu.Unlock()
 	return l.listed
 }
 
-// wait returns true when moved was closed, and false when the time came or
-// the mesh ends.
-func wait(t *tomb.Tomb, moved <-chan struct{}, timer <-chan time.Time) bool {
+// waitForChange reports true if changed was closed, and false if the timer fired
+// or the mesh ends.
+func waitForChange(t *tomb.Tomb, changed <-chan struct{}, timer <-chan time.Time) bool {
 	select {
-	case <-moved:
+	case <-changed:
 		return true
 	case <-timer:
 	case <-t.Dying():
@@ -71,28 +71,28 @@
 
 // backoff returns how long to wait before dialing.
 func (l *link) backoff(failures int) time.Duration {
-	d := l.mesh.mostBackoff
+	d := l.mesh.maxBackoff
 	if failures < maxDoublings {
-		d = min(d, l.mesh.leastBackoff<<failures)
+		d = min(d, l.mesh.minBackoff<<failures)
 	}
 	if l.mesh.self.ID > l.id {
-		d = max(d, l.mesh.patience) // the lower ID dials
+		d = max(d, l.mesh.dialDelay) // the lower ID dials
 	}
 	return l.mesh.jitter(d)
 }
 
-// dial makes a connection and serves it to its end. It reports whether the
-// peer sent anything after its hello.
+// dial connects to the peer and serves the connection until it ends. It reports
+// whether the peer sent anything after its hello.
 func (l *link) dial(t *tomb.Tomb) bool {
 	c, err := l.connect(t)
 	if err != nil {
-		refused := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, errOther)
+		refused := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, errWrongInstance)
 		l.mesh.emit(t, Received{From: l.id, Message: Unlinked{Refused: refused, Reason: err.Error()}})
 		return false
 	}
 	if err := l.attach(c); err != nil {
 		_ = c.socket.CloseNow()
-		return true // another one came about meanwhile
+		return true // another connection was established meanwhile
 	}
 	return c.serve(t)
 }
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	remote, err := l.greet(ctx, socket)
+	remote, err := l.exchangeHello(ctx, socket)
 	if err != nil {
 		_ = socket.CloseNow()
 		return nil, err
@@ -115,20 +115,20 @@
 	return newConnection(l, socket, remote, true), nil
 }
 
-func (l *link) greet(ctx context.Context, socket *websocket.Conn) (hello, error) {
+func (l *link) exchangeHello(ctx context.Context, socket *websocket.Conn) (hello, error) {
 	socket.SetReadLimit(MaxFrame)
-	if err := writeHello(ctx, socket, l.mesh.hello(l.id)); err != nil {
+	if err := writeHello(ctx, socket, l.mesh.newHello(l.id)); err != nil {
 		return hello{}, err
 	}
 	remote, err := readHello(ctx, socket)
 	if err != nil {
 		return hello{}, err
 	}
-	// What goes wrong: an address is given to another instance while the list
-	// still shows it for the old one. One would see messages for one instance
-	// acted on by another. So both ends say who they are before anything else.
+	// The list may show an address for an instance although another one uses it
+	// now. So both ends identify themselves first; otherwise an instance could
+	// execute messages meant for another.
 	if remote.ID != l.id {
-		return hello{}, errOther
+		return hello{}, errWrongInstance
 	}
 	return remote, nil
 }
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -14,14 +14,14 @@
 //		}
 //	}
 //
-// The instance with the lower ID dials. The other one dials as well when no
-// link has come about for a while, because the lower may not know of it yet;
-// of two links the one that the lower dialed stays. A link on which nothing
-// was heard for the silence bound is closed and made anew, with a jittered
-// backoff. Heartbeats are the pings: whoever uses a Mesh sends them more often
-// than the silence bound of the peer.
+// The instance with the lower ID dials. The other one dials too if no link is
+// established for a while, because the lower may not know of it yet. Of two
+// connections the one that the lower ID dialed is kept. A connection that
+// receives nothing for the silence timeout is closed and dialed again, with a
+// jittered backoff. Heartbeats serve as pings: the user of a Mesh must send them
+// more often than the silence timeout of the peer.
 //
-// On a link only what changed since the last heartbeat is sent, and service
-// names once. Frames, queues and the number of links are bounded; a message
-// that doesn't fit is refused when it is sent.
+// Heartbeats are delta-encoded on each connection, and a service name is sent
+// only once. Frames, queues and the number of links are bounded; a message that
+// exceeds a bound is refused when it is sent.
 package peer
--- a/peer/link.go
+++ b/peer/link.go
@@ -10,11 +10,11 @@
 )
 
 var (
-	errUnlisted = errors.New("no longer a peer")
-	errReplaced = errors.New("replaced by a newer connection")
-	errSilent   = errors.New("silent")
-	errOther    = errors.New("the address belongs to another instance")
-	errKept     = errors.New("another connection is kept")
+	errUnlisted      = errors.New("no longer a peer")
+	errReplaced      = errors.New("replaced by a newer connection")
+	errSilent        = errors.New("silent")
+	errWrongInstance = errors.New("the address belongs to another instance")
+	errOtherKept     = errors.New("another connection is kept")
 )
 
 // Link is the state of one link, for dumps.
@@ -25,43 +25,43 @@
 	Dialed  bool      `json:"dialed"` // by this instance
 	Since   time.Time `json:"since"`  // of the last change
 	Heard   time.Time `json:"heard"`  // last frame received
-	Queue   int       `json:"queue"`  // messages that wait
+	Queue   int       `json:"queue"`  // queued messages
 	Dropped uint64    `json:"dropped"`
-	Sent    uint64    `json:"sent"` // bytes with the WebSocket's framing
+	Sent    uint64    `json:"sent"` // bytes including WebSocket headers
 	Got     uint64    `json:"got"`
-	Reason  string    `json:"reason,omitempty"` // why it went down last
+	Reason  string    `json:"reason,omitempty"` // why it last went down
 }
 
-// link is the place for the connection with one peer.
+// link holds the current connection with one peer and its queue.
 type link struct {
 	mesh *Mesh
 	id   string
 
 	// Under mesh.mu.
-	listed   bool
-	dialing  bool
-	accepted int // connections that the peer dialed
+	listed        bool
+	dialing       bool
+	acceptedCount int // connections that the peer dialed
 
 	// Under mu.
-	mu      sync.Mutex
-	peer    Peer
-	current *connection
-	queue   [][]byte
-	bytes   int        // in queue
-	beat    *Heartbeat // newest unsent
-	last    *Heartbeat // newest sent
-	wake    chan struct{}
-	moved   chan struct{} // closed when a connection comes or goes, or the peer is unlisted
-	stats   Link
+	mu              sync.Mutex
+	peer            Peer
+	current         *connection
+	queue           [][]byte
+	queueBytes      int        // in queue
+	unsentHeartbeat *Heartbeat // newest unsent heartbeat
+	sentHeartbeat   *Heartbeat // newest sent heartbeat
+	wake            chan struct{}
+	changed         chan struct{} // closed when a connection comes or goes, or the peer is unlisted
+	stats           Link
 }
 
 func newLink(m *Mesh, id string) *link {
 	return &link{
-		mesh:  m,
-		id:    id,
-		wake:  make(chan struct{}, 1),
-		moved: make(chan struct{}),
-		stats: Link{ID: id, Since: time.Now()},
+		mesh:    m,
+		id:      id,
+		wake:    make(chan struct{}, 1),
+		changed: make(chan struct{}),
+		stats:   Link{ID: id, Since: time.Now()},
 	}
 }
 
@@ -69,15 +69,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.Address != l.peer.Address {
-		l.shift() // a new address is tried at once
+		l.notifyChange() // dial the new address immediately
 	}
 	l.peer = p
 }
 
-// shift wakes whoever waits for a change. The caller holds l.mu.
-func (l *link) shift() {
-	close(l.moved)
-	l.moved = make(chan struct{})
+// notifyChange wakes the goroutines that wait for a change of the link. The
+// caller holds l.mu.
+func (l *link) notifyChange() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 func (l *link) state() Link {
@@ -98,7 +99,7 @@
 	h.Free = maps.Clone(h.Free)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.beat = &h
+	l.unsentHeartbeat = &h
 	l.signal()
 	return nil
 }
@@ -109,11 +110,11 @@
 	if l.current == nil {
 		return fault.New(fault.Unavailable, "the link with %s is down", l.id)
 	}
-	if len(l.queue) >= maxQueue || l.bytes+len(data) > maxQueueBytes {
+	if len(l.queue) >= maxQueue || l.queueBytes+len(data) > maxQueueBytes {
 		return fault.New(fault.Overloaded, "the queue of %s is full", l.id)
 	}
 	l.queue = append(l.queue, data)
-	l.bytes += len(data)
+	l.queueBytes += len(data)
 	l.signal()
 	return nil
 }
@@ -125,14 +126,15 @@
 	}
 }
 
-// next takes what is to be written next; a heartbeat goes first.
+// next removes and returns the next heartbeat or message to write; a heartbeat
+// goes first.
 func (l *link) next() (h *Heartbeat, data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.beat != nil {
-		h = l.beat
-		l.last = h
-		l.beat = nil
+	if l.unsentHeartbeat != nil {
+		h = l.unsentHeartbeat
+		l.sentHeartbeat = h
+		l.unsentHeartbeat = nil
 		return h, nil
 	}
 	if len(l.queue) == 0 {
@@ -141,57 +143,57 @@
 	data = l.queue[0]
 	l.queue[0] = nil
 	l.queue = l.queue[1:]
-	l.bytes -= len(data)
+	l.queueBytes -= len(data)
 	return nil, data
 }
 
-// attach makes c the link's connection, and ends the one before if it gives
-// way. It returns errKept if it doesn't.
+// attach makes c the link's connection and closes the previous one. It returns
+// errKept if the previous one has priority.
 func (l *link) attach(c *connection) error {
 	for {
 		l.mu.Lock()
 		old := l.current
 		if old == nil {
 			l.current = c
-			if l.beat == nil {
-				l.beat = l.last // may not have arrived
+			if l.unsentHeartbeat == nil {
+				l.unsentHeartbeat = l.sentHeartbeat // the last one may not have arrived
 			}
 			l.stats.Since = time.Now()
 			l.stats.Reason = ""
-			l.shift()
+			l.notifyChange()
 			l.signal()
 			l.mu.Unlock()
 			return nil
 		}
 		l.mu.Unlock()
-		if !l.gives(old, c) {
-			return errKept
+		if !l.isReplaced(old, c) {
+			return errOtherKept
 		}
 		old.tomb.Kill(errReplaced)
-		<-old.done // after its last event, so that events stay in order
+		<-old.done // wait for its last event, so that events stay in order
 	}
 }
 
-// gives reports whether a connection gives way to a new one.
+// isReplaced reports whether connection c replaces the old one.
 //
-// What goes wrong: two instances dial each other at once and each keeps
-// another connection, or a silent connection keeps a good one out. One would
-// see links that go up and down without end, or a peer that can't be reached
-// although it answers. Of two connections both ends therefore keep the one
-// that the lower ID dialed, and a newer run, or a peer that redials because
-// nothing gets through, replaces the old one.
-func (l *link) gives(old, c *connection) bool {
+// Two instances may dial each other at the same time. If each kept a different
+// connection, links would go up and down forever; if a silent connection had
+// priority over a working one, a peer would stay unreachable although it
+// answers. So both ends keep the connection that the lower ID dialed, but a
+// newer incarnation replaces an older one, and so does a redial when nothing has
+// been received on the old connection for half of the silence timeout.
+func (l *link) isReplaced(old, c *connection) bool {
 	switch {
 	case c.remote.Incarnation != old.remote.Incarnation:
 		return c.remote.Incarnation > old.remote.Incarnation
-	case c.byLower():
+	case c.isDialedByLower():
 		return true
 	}
-	return time.Since(old.lastHeard()) > l.silence()/2
+	return time.Since(old.lastContact()) > l.silenceTimeout()/2
 }
 
-// detach ends c's time as the link's connection. What was queued goes with
-// it, because a message sent much later may no longer be meant.
+// detach removes c from its link. The queue is dropped, because a message sent
+// much later may no longer be valid.
 func (l *link) detach(c *connection, reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,8 +205,8 @@
 	l.stats.Reason = reason.Error()
 	l.stats.Dropped += uint64(len(l.queue))
 	l.queue = nil
-	l.bytes = 0
-	l.shift()
+	l.queueBytes = 0
+	l.notifyChange()
 }
 
 func (l *link) close(reason error) {
@@ -213,10 +215,10 @@
 	if l.current != nil {
 		l.current.tomb.Kill(reason)
 	}
-	l.shift()
+	l.notifyChange()
 }
 
-func (l *link) count(sent, got int) {
+func (l *link) countBytes(sent, got int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.Sent += uint64(sent)
@@ -226,8 +228,8 @@
 	}
 }
 
-// silence returns the bound for this peer.
-func (l *link) silence() time.Duration {
+// silenceTimeout returns the silence timeout for this peer.
+func (l *link) silenceTimeout() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	zone := l.peer.AvailabilityZone
@@ -235,7 +237,7 @@
 		zone = l.current.remote.AvailabilityZone
 	}
 	if zone == l.mesh.self.AvailabilityZone {
-		return l.mesh.settings.silence
+		return l.mesh.settings.silenceTimeout
 	}
-	return l.mesh.remoteSilence
+	return l.mesh.remoteSilenceTimeout
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -22,9 +22,9 @@
 // Mesh holds the links to all peers. It is safe for concurrent use.
 type Mesh struct {
 	settings
-	client   *http.Client
-	received chan Received
-	changed  chan struct{} // wakes Run after Set
+	client       *http.Client
+	received     chan Received
+	peersChanged chan struct{} // wakes Run after Set
 
 	mu      sync.Mutex
 	tomb    *tomb.Tomb // nil before Run
@@ -33,20 +33,20 @@
 	random  *rand.Rand
 }
 
-// New returns a new Mesh without links.
+// New returns a Mesh without links.
 func New(opts ...Option) *Mesh {
 	m := &Mesh{
-		settings: newSettings(opts),
-		received: make(chan Received, maxReceived),
-		changed:  make(chan struct{}, 1),
-		links:    map[string]*link{},
+		settings:     newSettings(opts),
+		received:     make(chan Received, maxReceived),
+		peersChanged: make(chan struct{}, 1),
+		links:        map[string]*link{},
 	}
 	m.random = rand.New(rand.NewPCG(xxhash.Sum64String(m.self.ID), m.self.Incarnation))
 	m.client = &http.Client{Transport: &http.Transport{DialContext: m.dial, DisableKeepAlives: true}}
 	return m
 }
 
-// Run holds the links until ctx is done. It may be called once.
+// Run maintains the links until ctx is done. It may be called only once.
 func (m *Mesh) Run(ctx context.Context) error {
 	t, _ := tomb.WithContext(ctx)
 	m.mu.Lock()
@@ -61,7 +61,7 @@
 	return err
 }
 
-// manage starts and ends the goroutines that dial, as Set demands.
+// manage starts a dialing goroutine for each peer that Set adds.
 func (m *Mesh) manage(t *tomb.Tomb) error {
 	for {
 		m.startDialing(t)
@@ -69,7 +69,7 @@
 		case <-t.Dying():
 			m.serving.Wait()
 			return nil
-		case <-m.changed:
+		case <-m.peersChanged:
 		}
 	}
 }
@@ -86,8 +86,8 @@
 	}
 }
 
-// Set says whom to link with. A link to a peer that was in the last set and
-// isn't in this one is closed.
+// Set replaces the set of peers to link with. Links to peers that are no longer
+// in the set are closed.
 func (m *Mesh) Set(peers []Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,13 +96,13 @@
 		if p.ID == m.self.ID {
 			continue
 		}
-		if l := m.link(p.ID); l != nil {
+		if l := m.ensureLink(p.ID); l != nil {
 			l.listed = true
 			l.setPeer(p)
 		}
 	}
 	select {
-	case m.changed <- struct{}{}:
+	case m.peersChanged <- struct{}{}:
 	default:
 	}
 }
@@ -118,14 +118,14 @@
 		if l.listed && !listed[l.id] {
 			l.listed = false
 			l.close(errUnlisted)
-			m.forget(l)
+			m.removeIfUnused(l)
 		}
 	}
 }
 
-// link returns the link of a peer, a new one if need be, and nil above the
-// bound. The caller holds m.mu.
-func (m *Mesh) link(id string) *link {
+// ensureLink returns the link of a peer and creates it if necessary. It returns
+// nil if there are maxLinks already. The caller holds m.mu.
+func (m *Mesh) ensureLink(id string) *link {
 	l, ok := m.links[id]
 	if ok {
 		return l
@@ -138,17 +138,18 @@
 	return l
 }
 
-// forget drops a link that nobody needs. The caller holds m.mu.
-func (m *Mesh) forget(l *link) {
-	if !l.listed && !l.dialing && l.accepted == 0 {
+// removeIfUnused removes a link that is neither listed nor in use. The caller
+// holds m.mu.
+func (m *Mesh) removeIfUnused(l *link) {
+	if !l.listed && !l.dialing && l.acceptedCount == 0 {
 		delete(m.links, l.id)
 	}
 }
 
-// Send queues a message and never blocks. An unsent heartbeat is replaced by
-// a newer one, and waits for the link if it is down; any other message is
-// refused while the link is down. A message that was queued is lost, without
-// a word, when the link goes down before it was written.
+// Send queues a message and never blocks. An unsent heartbeat is replaced by a
+// newer one, and is kept while the link is down; any other message is refused
+// while the link is down. A queued message is lost without an error if the link
+// goes down before it was written.
 func (m *Mesh) Send(id string, message Message) error {
 	m.mu.Lock()
 	l, ok := m.links[id]
@@ -159,7 +160,7 @@
 	if h, ok := message.(Heartbeat); ok {
 		return l.sendHeartbeat(h)
 	}
-	f, err := frameOf(message)
+	f, err := newFrame(message)
 	if err != nil {
 		return err
 	}
@@ -170,8 +171,8 @@
 	return l.send(data)
 }
 
-// Received is where messages and link events arrive. Whoever doesn't take
-// them holds up all links.
+// Received returns the channel of messages and link events. A full channel
+// blocks all links.
 func (m *Mesh) Received() <-chan Received {
 	return m.received
 }
@@ -203,7 +204,7 @@
 	return d/2 + time.Duration(m.random.Int64N(int64(d/2)+1))
 }
 
-func (m *Mesh) hello(to string) hello {
+func (m *Mesh) newHello(to string) hello {
 	return hello{
 		Version:          Version,
 		ID:               m.self.ID,
@@ -213,28 +214,28 @@
 	}
 }
 
-// enter returns the link of a peer that has dialed, and keeps it from being
-// forgotten until leave.
-func (m *Mesh) enter(id string) *link {
+// acquireLink returns the link of a peer that has dialed. The link isn't
+// removed until releaseLink.
+func (m *Mesh) acquireLink(id string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.link(id)
+	l := m.ensureLink(id)
 	if l != nil {
-		l.accepted++
+		l.acceptedCount++
 	}
 	return l
 }
 
-func (m *Mesh) leave(l *link) {
+func (m *Mesh) releaseLink(l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l.accepted--
-	m.forget(l)
+	l.acceptedCount--
+	m.removeIfUnused(l)
 }
 
-// begin returns the tomb that an accepted link lives under, and false when
-// none may begin.
-func (m *Mesh) begin() (*tomb.Tomb, bool) {
+// beginServing returns the parent tomb for an accepted connection, and false if
+// the mesh isn't running.
+func (m *Mesh) beginServing() (*tomb.Tomb, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.tomb == nil || !m.tomb.Alive() {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -20,20 +20,20 @@
 	farB  = member.Self{ID: "b", AvailabilityZone: "y", Incarnation: 1}
 )
 
-// linked starts two nodes that know each other.
-func linked(t *testing.T, a, b member.Self, opts ...peer.Option) (*network.Network, *node, *node) {
+// linkedNodes starts two nodes that are linked with each other.
+func linkedNodes(t *testing.T, a, b member.Self, opts ...peer.Option) (*network.Network, *node, *node) {
 	n := newNetwork(t)
 	x, y := startNode(t, n, a, "a:1", opts...), startNode(t, n, b, "b:1", opts...)
 	x.Set([]peer.Peer{x.peer(), y.peer()})
 	y.Set([]peer.Peer{x.peer(), y.peer()})
-	beat(time.Second, time.Second, x, y)
+	exchangeHeartbeats(time.Second, time.Second, x, y)
 	return n, x, y
 }
 
 func TestMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, b := linked(t, selfA, selfB)
+		_, a, b := linkedNodes(t, selfA, selfB)
 		is.True(a.Links()[0].Dialed) // the lower ID
 		is.True(b.Links()[0].Up && !b.Links()[0].Dialed)
 		a.collect()
@@ -72,10 +72,9 @@
 	})
 }
 
-// Symptom: a peer is suspected that others hear well, until somebody restarts
-// a process.
-// Sequence: the connection goes silent for good while new ones work.
-// Cause: no read or write on it ever fails.
+// A connection goes silent permanently without a failing read or write, while
+// new ones would work. It must be replaced, or a healthy peer is suspected until
+// a process is restarted.
 func TestSilentConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -89,39 +88,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				n, a, b := linked(t, selfA, c.other)
-				beat(3*c.every, c.every, a, b)
+				n, a, b := linkedNodes(t, selfA, c.other)
+				exchangeHeartbeats(3*c.every, c.every, a, b)
 				a.collect()
 				b.collect()
 				n.Silence()
-				beat(c.bound, c.every, a, b)
+				exchangeHeartbeats(c.bound, c.every, a, b)
 				for _, x := range []*node{a, b} {
 					got := x.collect()
 					is.Equal(count[peer.Unlinked](got), 1)
 					is.Equal(count[peer.Linked](got), 1)
 					is.True(count[peer.Heartbeat](got) > 0)
 				}
-				beat(20*c.every, c.every, a, b)
+				exchangeHeartbeats(20*c.every, c.every, a, b)
 				is.Equal(count[peer.Unlinked](a.collect()), 0)
 			})
 		})
 	}
 }
 
-// Symptom: a zone that can't reach the log works by an old configuration for
+// A revision is published after a connection across zones went silent, where
+// heartbeats come every 10 s. If silence were detected by missing heartbeats
+// alone, a zone that can't reach the log would use an old configuration for
 // longer than 12 s although its peers hold the new one.
-// Sequence: the connection goes silent, then a revision is published;
-// heartbeats across zones come every 10 s.
-// Cause: the silence was found by missing heartbeats alone.
-func TestNewsOnASilentConnection(t *testing.T) {
+func TestRevisionOnSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := linked(t, selfA, farB)
+		n, a, b := linkedNodes(t, selfA, farB)
 		n.Silence()
 		b.collect()
-		news := a.heartbeat(nil)
-		news.Revision = 8
-		is.NoErr(a.Send("b", news))
+		published := a.heartbeat(nil)
+		published.Revision = 8
+		is.NoErr(a.Send("b", published))
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		got := b.collect()
@@ -130,41 +128,39 @@
 	})
 }
 
-// Symptom: a new instance can't be reached while the list of the others lags.
-// Sequence: b starts and knows a; a doesn't know b, and learns of it later.
-// Cause: only the lower ID dials.
+// b starts and knows a, but a doesn't know b until later. If only the lower ID
+// dialed, a new instance would be unreachable while the list of the others lags.
 func TestHigherDialsAnUnawareLower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t)
 		a, b := startNode(t, n, selfA, "a:1"), startNode(t, n, selfB, "b:1")
 		b.Set([]peer.Peer{a.peer()})
-		beat(4*time.Second, time.Second, a, b)
+		exchangeHeartbeats(4*time.Second, time.Second, a, b)
 		is.True(b.Links()[0].Up && b.Links()[0].Dialed)
 		is.True(count[peer.Heartbeat](a.collect()) > 0)
 		is.NoErr(a.Send("b", peer.Handover{Worker: "w"}))
 		a.Set([]peer.Peer{b.peer()})
-		beat(time.Minute, time.Second, a, b)
-		is.Equal(count[peer.Unlinked](a.collect()), 0) // the link stays as it is
+		exchangeHeartbeats(time.Minute, time.Second, a, b)
+		is.Equal(count[peer.Unlinked](a.collect()), 0) // the existing connection is kept
 	})
 }
 
-// Symptom: a link goes up and down without end.
-// Sequence: both ends dial at the same moment, and again after a cut.
-// Cause: each end kept another one of the two connections.
+// Both ends dial at the same time, and again after a cut. If each end kept a
+// different connection, the link would go up and down forever.
 func TestBothDialAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t, network.WithLatency(20*time.Millisecond))
-		impatient := []peer.Option{peer.WithPatience(0), peer.WithBackoff(10*time.Millisecond, 10*time.Millisecond)}
-		a, b := startNode(t, n, selfA, "a:1", impatient...), startNode(t, n, selfB, "b:1", impatient...)
+		noDelay := []peer.Option{peer.WithPatience(0), peer.WithBackoff(10*time.Millisecond, 10*time.Millisecond)}
+		a, b := startNode(t, n, selfA, "a:1", noDelay...), startNode(t, n, selfB, "b:1", noDelay...)
 		a.Set([]peer.Peer{b.peer()})
 		b.Set([]peer.Peer{a.peer()})
 		for range 10 {
-			beat(10*time.Second, time.Second, a, b)
+			exchangeHeartbeats(10*time.Second, time.Second, a, b)
 			is.True(count[peer.Linked](a.collect()) <= 2)
 			is.True(count[peer.Linked](b.collect()) <= 2)
-			beat(5*time.Second, time.Second, a, b)
+			exchangeHeartbeats(5*time.Second, time.Second, a, b)
 			is.True(a.Links()[0].Up && b.Links()[0].Up)
 			is.True(a.Links()[0].Dialed != b.Links()[0].Dialed)
 			is.Equal(count[peer.Unlinked](a.collect())+count[peer.Unlinked](b.collect()), 0)
@@ -173,10 +169,9 @@
 	})
 }
 
-// Symptom: messages for one instance are acted on by another, or the death of
-// an instance is noticed late.
-// Sequence: b stops; nobody listens at its address, or another instance does.
-// Cause: an address was taken for an instance.
+// b stops, and nobody or another instance listens at its address. If the address
+// identified the instance, another one could execute messages meant for b, or
+// the death of b would be detected late.
 func TestRefusedAddress(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -189,7 +184,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				n, a, b := linked(t, selfA, selfB)
+				n, a, b := linkedNodes(t, selfA, selfB)
 				b.stop()
 				if c.successor != "" {
 					next := startNode(t, n, member.Self{ID: c.successor, AvailabilityZone: "z", Incarnation: 2}, "b:1")
@@ -209,20 +204,19 @@
 	}
 }
 
-// Symptom: an instance that was restarted stays unreachable.
-// Sequence: b is killed without a word on the open connection and comes back
-// under its ID and address, long before a finds the connection silent.
-// Cause: the old connection kept the new one out.
+// b is killed without closing its connection and restarts under its ID and
+// address long before a detects the silence. The new connection must replace the
+// old one, or b would stay unreachable.
 func TestRestartedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := linked(t, selfA, selfB, peer.WithSilence(time.Hour, time.Hour))
+		n, a, b := linkedNodes(t, selfA, selfB, peer.WithSilence(time.Hour, time.Hour))
 		n.Silence()
 		b.stop()
 		again := startNode(t, n, member.Self{ID: "b", AvailabilityZone: "z", Incarnation: 2}, "b:1")
 		again.Set([]peer.Peer{a.peer()})
 		a.collect()
-		beat(5*time.Second, time.Second, a, again)
+		exchangeHeartbeats(5*time.Second, time.Second, a, again)
 		got := a.collect()
 		is.True(len(got) > 2)
 		is.Equal(got[0].Message.(peer.Unlinked).Refused, false) // the events stay in order
@@ -231,11 +225,9 @@
 	})
 }
 
-// Symptom: an instance can't reach a peer for as long as that peer's silence
-// bound, although new connections work.
-// Sequence: the connection goes silent; b finds it and dials; a, with a far
-// longer bound, doesn't know where to dial.
-// Cause: a kept the silent connection.
+// A connection goes silent; b detects it and dials, while a has a much longer
+// silence timeout and doesn't know where to dial. If a kept the silent
+// connection, b couldn't reach it for as long as a's timeout.
 func TestOneEndNoticesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -243,24 +235,24 @@
 		a := startNode(t, n, selfA, "a:1", peer.WithSilence(time.Minute, time.Minute))
 		b := startNode(t, n, selfB, "b:1")
 		b.Set([]peer.Peer{a.peer()})
-		beat(5*time.Second, time.Second, a, b)
+		exchangeHeartbeats(5*time.Second, time.Second, a, b)
 		is.True(b.Links()[0].Up)
 		n.Silence()
-		beat(10*time.Second, time.Second, a, b)
-		is.True(!b.Links()[0].Up) // a may still be right to keep it
-		beat(30*time.Second, time.Second, a, b)
+		exchangeHeartbeats(10*time.Second, time.Second, a, b)
+		is.True(!b.Links()[0].Up) // too early for a to replace the connection
+		exchangeHeartbeats(30*time.Second, time.Second, a, b)
 		is.True(b.Links()[0].Up)
 	})
 }
 
-// Symptom: a command is carried out long after its sender gave it up.
-// Sequence: calls wait for b, the link goes down, and comes back.
-// Cause: the queue outlived the connection.
+// Calls are queued for b when the link goes down and comes back. If the queue
+// outlived the connection, a command could be executed long after its sender
+// gave up.
 func TestQueueEndsWithItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := linked(t, selfA, selfB)
-		for range 600 { // b takes nothing
+		n, a, b := linkedNodes(t, selfA, selfB)
+		for range 600 { // b receives nothing
 			_ = a.Send("b", peer.Call{ID: 1})
 			synctest.Wait()
 		}
@@ -268,21 +260,20 @@
 		b.stop()
 		again := startNode(t, n, member.Self{ID: "b", AvailabilityZone: "z", Incarnation: 2}, "b:1")
 		a.collect()
-		beat(10*time.Second, time.Second, a, again)
+		exchangeHeartbeats(10*time.Second, time.Second, a, again)
 		got := again.collect()
 		is.True(count[peer.Heartbeat](got) > 0)
 		is.Equal(count[peer.Call](got), 0)
 	})
 }
 
-// Symptom: the control loop stands still, or a process grows, because one
-// peer takes nothing.
-// Sequence: b takes nothing from its links; a goes on sending.
-// Cause: a send waited, or queued without bound.
+// b receives nothing from its links while a keeps sending. If Send blocked or
+// queued without bound, one slow peer would stop the control loop or exhaust the
+// memory of a.
 func TestSlowPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, b := linked(t, selfA, selfB)
+		_, a, b := linkedNodes(t, selfA, selfB)
 		b.collect()
 		refused := 0
 		for range 600 {
@@ -314,7 +305,7 @@
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, b := linked(t, selfA, selfB)
+		_, a, b := linkedNodes(t, selfA, selfB)
 		is.True(fault.Is(a.Send("b", peer.Config{Manifest: make([]byte, peer.MaxFrame)}), fault.TooLarge))
 		is.True(fault.Is(a.Send("b", peer.Linked{}), fault.Invalid))
 		is.True(fault.Is(a.Send("c", peer.Call{}), fault.NotFound))
@@ -329,7 +320,7 @@
 		a.Set(many)
 		b.Set(nil)
 		synctest.Wait()
-		a.Set(many) // the place of b is free now
+		a.Set(many) // the slot of b is free now
 		is.Equal(len(a.Links()), 256)
 		is.Equal(len(b.Links()), 0)
 		a.Set(nil)
--- a/peer/message.go
+++ b/peer/message.go
@@ -2,7 +2,7 @@
 
 import "github.com/dogwoodladder/dogwoodladder/message"
 
-// What a mesh carries, and the local events of its links.
+// The messages that a mesh carries, and the local events of its links.
 type (
 	Message       = message.Message
 	Heartbeat     = message.Heartbeat
--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -49,7 +49,7 @@
 	return x
 }
 
-// collect takes what was received so far.
+// collect returns the messages received so far.
 func (x *node) collect() []peer.Received {
 	var got []peer.Received
 	for {
@@ -78,8 +78,8 @@
 	}
 }
 
-// beat lets time pass while two nodes send each other heartbeats.
-func beat(d, interval time.Duration, x, y *node) {
+// exchangeHeartbeats advances time while two nodes send each other heartbeats.
+func exchangeHeartbeats(d, interval time.Duration, x, y *node) {
 	for range d / interval {
 		_ = x.Send(y.self.ID, x.heartbeat(nil))
 		_ = y.Send(x.self.ID, y.heartbeat(nil))
--- a/peer/option.go
+++ b/peer/option.go
@@ -8,14 +8,14 @@
 	"github.com/dogwoodladder/dogwoodladder/member"
 )
 
-// Defaults. The silence bounds are three heartbeats within and across
-// availability zones.
+// Defaults. The silence timeouts are three heartbeat intervals within and
+// across availability zones.
 const (
 	defaultSilence       = 3 * time.Second
 	defaultRemoteSilence = 30 * time.Second
-	defaultLeastBackoff  = 200 * time.Millisecond
-	defaultMostBackoff   = 5 * time.Second
-	defaultPatience      = 2 * time.Second
+	defaultMinBackoff    = 200 * time.Millisecond
+	defaultMaxBackoff    = 5 * time.Second
+	defaultDialDelay     = 2 * time.Second
 	defaultTimeout       = 2 * time.Second
 )
 
@@ -24,55 +24,55 @@
 	maxLinks      = 256
 	maxQueue      = 64      // messages that wait on one link
 	maxQueueBytes = 4 << 20 // their bytes
-	maxReceived   = 256     // messages that wait to be taken from Received
+	maxReceived   = 256     // messages buffered in the channel of Received
 )
 
-// Dialer makes a connection to an address.
+// Dialer connects to an address.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 type settings struct {
-	self          member.Self
-	silence       time.Duration
-	remoteSilence time.Duration
-	leastBackoff  time.Duration
-	mostBackoff   time.Duration
-	patience      time.Duration
-	timeout       time.Duration
-	dial          Dialer
+	self                 member.Self
+	silenceTimeout       time.Duration
+	remoteSilenceTimeout time.Duration
+	minBackoff           time.Duration
+	maxBackoff           time.Duration
+	dialDelay            time.Duration
+	timeout              time.Duration
+	dial                 Dialer
 }
 
 // Option sets up a Mesh.
 type Option func(*settings)
 
-// WithSelf names the instance.
+// WithSelf sets the identity of the instance.
 func WithSelf(self member.Self) Option {
 	return func(s *settings) { s.self = self }
 }
 
-// WithSilence sets after how long without a frame a link is made anew, within
-// the availability zone and across zones. What isn't a routine heartbeat must
-// be confirmed within the former on any link.
+// WithSilence sets the time without a received frame after which a connection
+// is replaced, within the availability zone and across zones. On any connection
+// a message other than a routine heartbeat must be confirmed within the former.
 func WithSilence(zone, remote time.Duration) Option {
 	return func(s *settings) {
-		s.silence = zone
-		s.remoteSilence = remote
+		s.silenceTimeout = zone
+		s.remoteSilenceTimeout = remote
 	}
 }
 
-// WithBackoff sets the least and the most time between attempts to link.
+// WithBackoff sets the minimum and maximum time between dial attempts.
 func WithBackoff(least, most time.Duration) Option {
 	return func(s *settings) {
-		s.leastBackoff = least
-		s.mostBackoff = most
+		s.minBackoff = least
+		s.maxBackoff = most
 	}
 }
 
 // WithPatience sets how long the higher ID waits for the lower one to dial.
 func WithPatience(d time.Duration) Option {
-	return func(s *settings) { s.patience = d }
+	return func(s *settings) { s.dialDelay = d }
 }
 
-// WithTimeout bounds dialing with the hello, and each write.
+// WithTimeout bounds dialing including the handshake, and each write.
 func WithTimeout(d time.Duration) Option {
 	return func(s *settings) { s.timeout = d }
 }
@@ -84,13 +84,13 @@
 
 func newSettings(opts []Option) settings {
 	s := settings{
-		silence:       defaultSilence,
-		remoteSilence: defaultRemoteSilence,
-		leastBackoff:  defaultLeastBackoff,
-		mostBackoff:   defaultMostBackoff,
-		patience:      defaultPatience,
-		timeout:       defaultTimeout,
-		dial:          (&net.Dialer{}).DialContext,
+		silenceTimeout:       defaultSilence,
+		remoteSilenceTimeout: defaultRemoteSilence,
+		minBackoff:           defaultMinBackoff,
+		maxBackoff:           defaultMaxBackoff,
+		dialDelay:            defaultDialDelay,
+		timeout:              defaultTimeout,
+		dial:                 (&net.Dialer{}).DialContext,
 	}
 	for _, opt := range opts {
 		opt(&s)
