--- a/appender/appender.go
+++ b/appender/appender.go
@@ -10,10 +10,10 @@
 //	}
 //	a.Folded(now, sequence) // the record was read back
 //
-// One batch is under way at a time. A batch whose answer was lost is sent
-// again with the same sequences until it has been read back: the fold
-// ignores a sequence that it has seen, so the records take effect once
-// however often they were appended.
+// One batch is in flight at a time. A batch whose answer was lost is sent again
+// with the same sequences until it has been read back. Readers ignore a sequence
+// that they have applied, so a record takes effect once however often it was
+// appended.
 package appender
 
 import (
@@ -32,32 +32,32 @@
 	DefaultBytes    = 1 << 20
 )
 
-// Appender is the writing side of a zone stream. It isn't safe for use by
-// several goroutines.
+// Appender is the writing side of a zone stream. It isn't safe for concurrent
+// use.
 type Appender struct {
-	writer   record.Writer
-	interval time.Duration // least time between batches
-	patience time.Duration // how long an appended batch may stay unread
-	batch    int           // most records in a batch
-	bytes    int           // most encoded bytes in a batch
-	limit    int           // most records that wait
-
-	last    uint64 // newest sequence given out
-	waiting []item
-	sent    []item // the batch under way or not yet read back
-	state   state
-	at      time.Time // of the newest change of state
-	started time.Time // of the newest batch
-	retries int
+	writer          record.Writer
+	interval        time.Duration // minimum time between batches
+	readBackTimeout time.Duration // time after which an appended batch that wasn't read back is sent again
+	maxBatch        int           // maximum records in a batch
+	maxBytes        int           // maximum encoded bytes in a batch
+	maxWaiting      int           // maximum records in waiting
+
+	lastSequence   uint64 // newest assigned sequence
+	waiting        []item
+	sent           []item // batch that is in flight or not yet read back
+	state          state
+	stateChangedAt time.Time // of the newest change of state
+	batchStartedAt time.Time // of the newest batch
+	retries        int
 }
 
 type state int
 
 const (
-	idle     state = iota // nothing is under way
+	idle     state = iota // no batch is in flight
 	inFlight              // an append call is running
-	appended              // the call succeeded, the batch isn't read back yet
-	unsure                // the call failed, and may have taken effect
+	appended              // the call succeeded; the batch isn't read back yet
+	unsure                // the call failed but may have taken effect
 )
 
 type item struct {
@@ -65,7 +65,7 @@
 	data     []byte
 }
 
-// Batch is what to append in one call.
+// Batch holds the records to append in one call.
 type Batch struct {
 	First, Last uint64 // sequences
 	Data        [][]byte
@@ -74,31 +74,31 @@
 // Option sets up an Appender.
 type Option func(*Appender)
 
-// WithInterval sets the least time between two batches.
+// WithInterval sets the minimum time between two batches.
 func WithInterval(d time.Duration) Option {
 	return func(a *Appender) { a.interval = d }
 }
 
-// WithPatience sets how long an appended batch may stay unread before it is
-// appended again.
+// WithPatience sets the time after which an appended batch that wasn't read
+// back is appended again.
 func WithPatience(d time.Duration) Option {
-	return func(a *Appender) { a.patience = d }
+	return func(a *Appender) { a.readBackTimeout = d }
 }
 
 // WithPending bounds the records that wait to be sent.
 func WithPending(n int) Option {
-	return func(a *Appender) { a.limit = n }
+	return func(a *Appender) { a.maxWaiting = n }
 }
 
 // New returns an Appender that writes as w.
 func New(w record.Writer, opts ...Option) *Appender {
 	a := &Appender{
-		writer:   w,
-		interval: DefaultInterval,
-		patience: DefaultPatience,
-		batch:    DefaultBatch,
-		bytes:    DefaultBytes,
-		limit:    DefaultPending,
+		writer:          w,
+		interval:        DefaultInterval,
+		readBackTimeout: DefaultPatience,
+		maxBatch:        DefaultBatch,
+		maxBytes:        DefaultBytes,
+		maxWaiting:      DefaultPending,
 	}
 	for _, opt := range opts {
 		opt(a)
@@ -106,31 +106,31 @@
 	return a
 }
 
-// Writer returns the name that records are written under.
+// Writer returns the writer of the records.
 func (a *Appender) Writer() record.Writer {
 	return a.writer
 }
 
-// Add numbers r and puts it in line. It gives fault.Unavailable when too
-// many records wait, which happens while the log can't be reached.
+// Add assigns a sequence to r and queues it. It fails with fault.Unavailable if
+// the queue is full, which happens while the log can't be reached.
 func (a *Appender) Add(r record.Record) (uint64, error) {
-	if len(a.waiting) >= a.limit {
+	if len(a.waiting) >= a.maxWaiting {
 		return 0, fault.New(fault.Unavailable, "%d records wait for the log service", len(a.waiting))
 	}
 	r.Version = record.Version
 	r.Writer = a.writer
-	r.Sequence = a.last + 1
+	r.Sequence = a.lastSequence + 1
 	data, err := record.Encode(r)
 	if err != nil {
 		return 0, err
 	}
-	a.last++
-	a.waiting = append(a.waiting, item{a.last, data})
-	return a.last, nil
+	a.lastSequence++
+	a.waiting = append(a.waiting, item{a.lastSequence, data})
+	return a.lastSequence, nil
 }
 
-// Withdraw takes back a record that was never sent and reports whether it
-// could: false means that the record may take effect.
+// Withdraw removes a record that was never sent and reports whether it did:
+// false means that the record may take effect.
 func (a *Appender) Withdraw(sequence uint64) bool {
 	for i, it := range a.waiting {
 		if it.sequence == sequence {
@@ -141,36 +141,36 @@
 	return false
 }
 
-// Next returns the batch to append now, if there is one. After it returned
-// one, it returns none until Answered was called.
+// Next returns the batch to append now, if there is one. After it has returned
+// one, it returns none until Answered is called.
 func (a *Appender) Next(now time.Time) (Batch, bool) {
-	if a.state == inFlight || now.Before(a.started.Add(a.wait())) {
+	if a.state == inFlight || now.Before(a.batchStartedAt.Add(a.minInterval())) {
 		return Batch{}, false
 	}
-	if a.state == appended && now.Before(a.at.Add(a.patience)) {
+	if a.state == appended && now.Before(a.stateChangedAt.Add(a.readBackTimeout)) {
 		return Batch{}, false
 	}
 	if a.state == idle {
-		a.fill()
+		a.fillBatch()
 	}
 	if len(a.sent) == 0 {
 		return Batch{}, false
 	}
 	a.state = inFlight
-	a.started = now
-	return a.current(), true
+	a.batchStartedAt = now
+	return a.currentBatch(), true
 }
 
-// Answered takes the outcome of the append call. An error of any kind leaves
-// the batch in place: it is sent again, whether or not it took effect. A batch
-// that was read back before its answer came is done.
+// Answered handles the result of the append call. After any error the batch is
+// sent again, whether or not it took effect, unless it has already been read
+// back.
 func (a *Appender) Answered(now time.Time, err error) {
 	if a.state != inFlight {
 		return
 	}
-	a.at = now
+	a.stateChangedAt = now
 	if len(a.sent) == 0 {
-		a.settle()
+		a.finishBatch()
 		return
 	}
 	if err != nil {
@@ -181,30 +181,30 @@
 	a.state = appended
 }
 
-// Folded takes note that the record with a sequence was read back, and with
-// it all earlier ones.
+// Folded handles that the record with a sequence, and all earlier ones, were
+// read back.
 func (a *Appender) Folded(now time.Time, sequence uint64) {
 	for len(a.sent) > 0 && a.sent[0].sequence <= sequence {
 		a.sent = a.sent[1:]
 	}
 	if len(a.sent) == 0 && a.state != inFlight {
-		a.settle()
+		a.finishBatch()
 	}
 }
 
-// settle makes room for the next batch.
-func (a *Appender) settle() {
+// finishBatch makes the appender ready for the next batch.
+func (a *Appender) finishBatch() {
 	a.state = idle
 	a.retries = 0
 }
 
-// Waiting returns how many records aren't read back yet.
+// Waiting returns the number of records that aren't read back yet.
 func (a *Appender) Waiting() int {
 	return len(a.waiting) + len(a.sent)
 }
 
-// Settled reports whether the record with a sequence was read back or taken
-// back.
+// Settled reports whether the record with a sequence was read back or
+// withdrawn.
 func (a *Appender) Settled(sequence uint64) bool {
 	for _, items := range [][]item{a.sent, a.waiting} {
 		if len(items) > 0 && items[0].sequence <= sequence {
@@ -214,18 +214,18 @@
 	return true
 }
 
-// Last returns the newest sequence given out.
+// Last returns the newest assigned sequence.
 func (a *Appender) Last() uint64 {
-	return a.last
+	return a.lastSequence
 }
 
-// fill moves waiting records into the next batch.
-func (a *Appender) fill() {
+// fillBatch moves waiting records into the next batch.
+func (a *Appender) fillBatch() {
 	size := 0
 	n := 0
-	for n < len(a.waiting) && n < a.batch {
+	for n < len(a.waiting) && n < a.maxBatch {
 		size += len(a.waiting[n].data)
-		if n > 0 && size > a.bytes {
+		if n > 0 && size > a.maxBytes {
 			break
 		}
 		n++
@@ -234,7 +234,8 @@
 	a.waiting = a.waiting[n:]
 }
 
-func (a *Appender) current() Batch {
+// currentBatch returns the batch in sent.
+func (a *Appender) currentBatch() Batch {
 	b := Batch{First: a.sent[0].sequence, Last: a.sent[len(a.sent)-1].sequence}
 	for _, it := range a.sent {
 		b.Data = append(b.Data, it.data)
@@ -242,9 +243,9 @@
 	return b
 }
 
-// wait returns the least time between two batches, which doubles with each
-// failed try up to 32 times.
-func (a *Appender) wait() time.Duration {
+// minInterval returns the minimum time between two batches, which doubles with
+// each failed attempt up to 32 times.
+func (a *Appender) minInterval() time.Duration {
 	const mostDoublings = 5
 	return a.interval << min(a.retries, mostDoublings)
 }
--- a/appender/appender_test.go
+++ b/appender/appender_test.go
@@ -25,9 +25,8 @@
 	}
 }
 
-// Symptom: an instance writes nothing any more, for ever.
-// Sequence: a batch is appended; the reader sees it; the answer comes last.
-// Cause: the answer is taken to be of a batch that still waits to be read.
+// A batch is read back before its answer arrives. If the late answer made the
+// appender wait for the batch to be read back, it would never write again.
 func TestReadBeforeAnswer(t *testing.T) {
 	is := is.New(t)
 	a := appender.New(record.Writer{ID: "e1"})
@@ -42,9 +41,9 @@
 	is.Equal(batch.First, uint64(2))
 }
 
-// Symptom: a record is missing, or a later one overtakes it and voids it.
-// Sequence: an append fails or its answer is lost; more records are added.
-// Cause: the batch is given up, or the next one is sent before it.
+// An append fails or its answer is lost while more records are added. If the
+// batch were dropped, or the next one sent first, a record would be lost or made
+// void by a later sequence.
 func TestLostAnswerKeepsOrder(t *testing.T) {
 	is := is.New(t)
 	a := appender.New(record.Writer{ID: "e1"})
@@ -65,9 +64,8 @@
 	is.Equal(next.First, uint64(3))
 }
 
-// Symptom: an instance waits for ever for a record that the log dropped.
-// Sequence: the append is answered well; the record never shows up.
-// Cause: a good answer is taken for proof.
+// An append succeeds but the record never appears in the stream. If success were
+// taken as proof, the instance would wait forever for a record that the log lost.
 func TestUnreadIsSentAgain(t *testing.T) {
 	is := is.New(t)
 	a := appender.New(record.Writer{ID: "e1"}, appender.WithPatience(2*time.Second))
@@ -81,9 +79,8 @@
 	is.Equal(again, first)
 }
 
-// Symptom: a command is refused as not run, and its record takes effect.
-// Sequence: a record waits; another is under way; both are withdrawn.
-// Cause: a record that was sent is taken back.
+// Only records that were never sent can be withdrawn. Otherwise a command could
+// be refused as not run although its record takes effect.
 func TestWithdraw(t *testing.T) {
 	is := is.New(t)
 	a := appender.New(record.Writer{ID: "e1"})
@@ -95,9 +92,8 @@
 	is.Equal(a.Waiting(), 1)
 }
 
-// Symptom: the process grows without bound during a long outage.
-// Sequence: nothing can be appended; records go on being added.
-// Cause: the line has no end.
+// Nothing can be appended while records are still added. The queue must be
+// bounded, or the memory of the process grows without limit in a long outage.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	a := appender.New(record.Writer{ID: "e1"}, appender.WithPending(3))
@@ -117,5 +113,5 @@
 		waits = append(waits, now.Sub(began))
 		a.Answered(now, lost)
 	}
-	is.Equal(waits[7], 32*appender.DefaultInterval) // the rate of retries falls to a bound
+	is.Equal(waits[7], 32*appender.DefaultInterval) // the backoff is bounded
 }
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,4 +1,4 @@
-// Package follower keeps a zone's state in step with its stream in the log
+// Package follower keeps a zone's state up to date with its stream in the log
 // service, and starts it from the newest usable snapshot.
 //
 // Usage:
@@ -6,12 +6,13 @@
 //	applied := f.Feed(now, sentAt, page)
 //	for _, a := range applied { ... }
 //	if f.Ready() { state := f.State() }
-//	from := f.Next() // where to read on
+//	from := f.Next() // offset of the next read
 //
-// The state exists once the stream was followed from its first record, or
-// from a snapshot record whose successor is still kept. Where no such snapshot
-// is left, a recovery snapshot decides, at every reader alike, unless somebody
-// who has the state writes a regular one within Grace of it.
+// The state exists once the stream was followed from its first record, or from
+// a snapshot record with all records after the snapshot's state still available.
+// If there is no such snapshot, a recovery snapshot takes effect at every
+// reader, unless an instance that has the state writes a regular one within
+// Grace.
 package follower
 
 import (
@@ -22,32 +23,33 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// Grace is how long a recovery snapshot can be overruled by a regular one, by
-// the times that the log service gives to records.
+// Grace is the time within which a regular snapshot overrules a recovery
+// snapshot, measured by the timestamps of the log service.
 const Grace = 30 * time.Second
 
-// Applied is a record that was folded, with what it changed.
+// Applied is a record that was applied, with its outcome.
 type Applied struct {
 	Offset  uint64
 	Record  record.Record
 	Outcome zone.Outcome
 }
 
-// Follower folds one stream. It isn't safe for use by several goroutines.
+// Follower applies the records of one stream to a state. It isn't safe for
+// concurrent use.
 type Follower struct {
-	create  func() *zone.State
-	state   *zone.State
-	next    uint64
-	held    []provider.Entry // read before the tail was reached
-	prior   *zone.State      // the state before a gap
-	rival   *rival           // a recovery snapshot that may be overruled
-	tail    time.Time        // when the newest read that reached the tail was sent
-	caught  bool             // the tail was reached with a state
-	empty   bool             // the tail was reached without a state
-	restart bool             // the state starts from a snapshot
-	newer   uint             // a record version above ours that was met, or zero
-	bad     uint64           // records that could not be decoded
-	gaps    uint64           // times the next offset had expired
+	create         func() *zone.State
+	state          *zone.State
+	next           uint64
+	held           []provider.Entry  // entries read before the tail was reached, for replay
+	stateBeforeGap *zone.State       // the state before a gap
+	recovery       *recoverySnapshot // a recovery snapshot that may be overruled
+	tailReadAt     time.Time         // when the newest read that reached the tail was sent
+	caughtUp       bool              // the tail was reached with a state
+	noState        bool              // the tail was reached without a state
+	fromSnapshot   bool              // the state starts from a snapshot
+	newerVersion   uint              // version of a record above record.Version, or zero
+	damaged        uint64            // records that could not be decoded
+	gaps           uint64            // number of times the next offset had expired
 }
 
 // New returns a Follower that starts from an empty state made by create.
@@ -55,14 +57,15 @@
 	return &Follower{create: create}
 }
 
-// State returns the folded state, or nil before there is one.
+// State returns the state, or nil before there is one.
 func (f *Follower) State() *zone.State {
 	return f.state
 }
 
-// Ready reports whether the state exists and reached the tail once.
+// Ready reports whether the state exists, has reached the tail once, and no
+// record of a newer version was read.
 func (f *Follower) Ready() bool {
-	return f.state != nil && f.caught && f.newer == 0
+	return f.state != nil && f.caughtUp && f.newerVersion == 0
 }
 
 // Next returns the offset to read from.
@@ -70,76 +73,77 @@
 	return f.next
 }
 
-// Tail returns when the newest read that reached the tail was sent. The
-// state held everything that the log had at that time.
+// Tail returns when the newest read that reached the tail was sent. The state
+// includes everything that the log had at that time.
 func (f *Follower) Tail() time.Time {
-	return f.tail
+	return f.tailReadAt
 }
 
-// Newer returns the version of a record that this program is too old to
-// fold, or zero.
+// Newer returns the version of a record that this program is too old to apply,
+// or zero.
 //
-// What goes wrong: during a rolling upgrade a newer program writes a record
-// whose rules this one doesn't know; folding on without it would give a
-// state that differs from everyone else's. One would notice two instances
-// that both think they own a task. The follower stops there, so the instance
-// claims and extends nothing any more, and its workers move to others.
+// During a rolling upgrade a newer program may write a record whose rules this
+// one doesn't know. Skipping it would give a state that differs from that of the
+// others, and two instances could both consider themselves the owner of a task.
+// So the follower stops there: the instance no longer claims tasks or extends
+// leases, and its workers move to others.
 func (f *Follower) Newer() uint {
-	return f.newer
+	return f.newerVersion
 }
 
 // Damaged returns how many records could not be decoded.
 func (f *Follower) Damaged() uint64 {
-	return f.bad
+	return f.damaged
 }
 
-// Gaps returns how often the next offset had expired.
+// Gaps returns the number of times the next offset had expired.
 func (f *Follower) Gaps() uint64 {
 	return f.gaps
 }
 
-// Feed folds a page that was asked for at sentAt.
+// Feed applies a page whose read was sent at sentAt.
 func (f *Follower) Feed(now, sentAt time.Time, page provider.Page) []Applied {
-	if f.newer != 0 {
+	if f.newerVersion != 0 {
 		return nil
 	}
-	f.begin(page)
+	f.checkGap(page)
 	var applied []Applied
 	for _, e := range page.Entries {
 		if e.Offset < f.next {
 			continue // a repeated answer
 		}
 		if e.Offset > f.next {
-			break // a hole in the answer: read again from next
+			break // a gap in the answer: read again from next
 		}
-		if !f.take(e, &applied) {
+		if !f.handleEntry(e, &applied) {
 			return applied
 		}
 	}
 	if f.next >= page.Next {
-		f.reached(sentAt)
+		f.handleTail(sentAt)
 	}
 	return applied
 }
 
-// begin decides where the state starts, and restarts it at a gap.
+// checkGap creates the initial state at the first record, and drops the state
+// at a gap.
 //
-// What goes wrong: the instance was cut off for longer than the log keeps
-// records, so some were never folded. One would notice a state that differs
-// from that of others. Starting again from a snapshot record gives the state
-// that everyone who reads that record has.
-func (f *Follower) begin(page provider.Page) {
+// If the instance was cut off for longer than the log keeps records, some were
+// never applied, and continuing would give a state that differs from that of the
+// others. Starting again from a snapshot record gives the same state as at every
+// other reader of that record.
+func (f *Follower) checkGap(page provider.Page) {
 	if f.next < page.Oldest {
 		if f.state != nil || f.next > 0 {
 			f.gaps++
 		}
 		if f.state != nil {
-			f.prior = f.state
+			f.stateBeforeGap = f.state
 		}
 		f.state = nil
 		f.held = nil
-		f.caught = false
-		f.restart = true
+		f.caughtUp = false
+		f.fromSnapshot = true
 		f.next = page.Oldest
 	}
 	if f.state == nil && f.next == 0 {
@@ -147,22 +151,24 @@
 	}
 }
 
-func (f *Follower) take(e provider.Entry, applied *[]Applied) bool {
+// handleEntry applies one entry. It returns false for a record of a newer
+// version.
+func (f *Follower) handleEntry(e provider.Entry, applied *[]Applied) bool {
 	r, err := record.Decode(e.Data)
 	if err != nil && r.Version > record.Version {
-		f.newer = r.Version
+		f.newerVersion = r.Version
 		return false
 	}
 	f.next = e.Offset + 1
 	if err != nil {
-		f.bad++
+		f.damaged++
 		return true
 	}
-	if !f.caught && f.restart {
+	if !f.caughtUp && f.fromSnapshot {
 		f.held = append(f.held, e)
 	}
-	f.contest(e, r, applied)
-	if f.usable(r.Snapshot) && f.restore(r.Snapshot, applied) {
+	f.trackRecovery(e, r, applied)
+	if f.isUsable(r.Snapshot) && f.restore(r.Snapshot, applied) {
 		return true
 	}
 	if f.state != nil {
@@ -171,42 +177,44 @@
 	return true
 }
 
-// rival is a recovery snapshot and the entries that follow it.
-type rival struct {
+// recoverySnapshot is a recovery snapshot and the entries that follow it.
+type recoverySnapshot struct {
 	snapshot *record.Snapshot
 	offset   uint64
 	at       time.Time
 	entries  []provider.Entry
 }
 
-// contest follows up recovery snapshots.
+// trackRecovery tracks the first recovery snapshot until it is overruled or
+// takes effect.
 //
-// What goes wrong: an instance that lost the state writes a recovery snapshot
-// while another one still has it. One would notice the two deciding from
-// different states. Whoever has the state writes a regular snapshot, which
-// overrules the other when it comes within Grace; else the first recovery
-// snapshot takes effect at every reader, also at one that has a state.
-func (f *Follower) contest(e provider.Entry, r record.Record, applied *[]Applied) {
+// An instance that lost the state may write a recovery snapshot while another
+// one still has it, and the two would decide from different states. An instance
+// that has the state writes a regular snapshot, which overrules the recovery
+// snapshot if it comes within Grace. Otherwise the first recovery snapshot takes
+// effect at every reader, even if that reader has a state.
+func (f *Follower) trackRecovery(e provider.Entry, r record.Record, applied *[]Applied) {
 	switch {
-	case f.rival == nil && r.Snapshot != nil && r.Snapshot.Recovery:
-		f.rival = &rival{snapshot: r.Snapshot, offset: e.Offset, at: e.Time}
-	case f.rival == nil:
+	case f.recovery == nil && r.Snapshot != nil && r.Snapshot.Recovery:
+		f.recovery = &recoverySnapshot{snapshot: r.Snapshot, offset: e.Offset, at: e.Time}
+	case f.recovery == nil:
 	case r.Snapshot != nil && !r.Snapshot.Recovery:
-		f.rival = nil
-	case e.Time.Sub(f.rival.at) >= Grace:
-		f.decide(applied)
+		f.recovery = nil
+	case e.Time.Sub(f.recovery.at) >= Grace:
+		f.applyRecovery(applied)
 	default:
-		f.rival.entries = append(f.rival.entries, e)
+		f.recovery.entries = append(f.recovery.entries, e)
 	}
 }
 
-// decide puts a recovery snapshot in force, with the entries that follow it.
-func (f *Follower) decide(applied *[]Applied) {
-	v := f.rival
-	f.rival = nil
+// applyRecovery replaces the state by the recovery snapshot and replays the
+// entries that follow it.
+func (f *Follower) applyRecovery(applied *[]Applied) {
+	v := f.recovery
+	f.recovery = nil
 	state, err := zone.Restore(v.snapshot.State)
 	if err != nil {
-		f.bad++
+		f.damaged++
 		return
 	}
 	state.SkipTo(v.offset + 1)
@@ -215,28 +223,27 @@
 }
 
 // Contested reports whether a recovery snapshot was read that can still be
-// overruled. Whoever has a state then writes a regular snapshot; the others
-// write markers, which move the stream's time on.
+// overruled. Instances that have a state then write a regular snapshot; the
+// others write markers, which advance the time of the stream.
 func (f *Follower) Contested() bool {
-	return f.rival != nil
+	return f.recovery != nil
 }
 
-// usable reports whether a regular snapshot decides the state of a reader
-// that is starting: as long as the tail wasn't reached, so that the newest one
-// wins.
-func (f *Follower) usable(s *record.Snapshot) bool {
-	if s == nil || s.Recovery || !f.restart || f.caught || len(f.held) == 0 {
+// isUsable reports whether a starting reader takes its state from a regular
+// snapshot. It does so until the tail is reached, so that the newest one wins.
+func (f *Follower) isUsable(s *record.Snapshot) bool {
+	if s == nil || s.Recovery || !f.fromSnapshot || f.caughtUp || len(f.held) == 0 {
 		return false
 	}
 	return s.At+1 >= f.held[0].Offset
 }
 
-// restore starts the state from a snapshot and folds the held records that
-// follow it. It reports whether it did.
+// restore starts the state from a snapshot, replays the held entries that
+// follow it, and reports whether the snapshot could be decoded.
 func (f *Follower) restore(s *record.Snapshot, applied *[]Applied) bool {
 	state, err := zone.Restore(s.State)
 	if err != nil {
-		f.bad++
+		f.damaged++
 		return false
 	}
 	f.state = state
@@ -245,7 +252,7 @@
 	return true
 }
 
-// replay folds the entries after an offset.
+// replay applies the entries after an offset.
 func (f *Follower) replay(entries []provider.Entry, after uint64, applied *[]Applied) {
 	for _, e := range entries {
 		if e.Offset <= after {
@@ -259,21 +266,22 @@
 	}
 }
 
-func (f *Follower) reached(sentAt time.Time) {
+// handleTail handles a read that reached the tail.
+func (f *Follower) handleTail(sentAt time.Time) {
 	if f.state != nil {
-		f.caught = true
+		f.caughtUp = true
 		f.held = nil
-		f.prior = nil
+		f.stateBeforeGap = nil
 	}
-	f.empty = f.state == nil
-	if sentAt.After(f.tail) {
-		f.tail = sentAt
+	f.noState = f.state == nil
+	if sentAt.After(f.tailReadAt) {
+		f.tailReadAt = sentAt
 	}
 }
 
-// Lost reports whether the tail was reached without finding any state to
-// start from, and the state from before the gap where there is one. Whoever
-// has one writes it as a recovery snapshot that holds up to Next()-1.
+// Lost reports whether the tail was reached without a state to start from, and
+// returns the state from before the gap if there is one. An instance that has
+// one writes it as a recovery snapshot that covers the offsets up to Next()-1.
 func (f *Follower) Lost() (prior *zone.State, lost bool) {
-	return f.prior, f.empty
+	return f.stateBeforeGap, f.noState
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -20,7 +20,8 @@
 	writer = record.Writer{ID: "e1", Incarnation: 1}
 )
 
-// stream is a stream with a reader that has followed it from the start.
+// stream is a stream with the state of a reader that has followed it from the
+// start.
 type stream struct {
 	t       *testing.T
 	entries []provider.Entry
@@ -53,7 +54,7 @@
 	s.add(record.Record{Snapshot: &record.Snapshot{At: uint64(len(s.entries)) - 1, State: data}})
 }
 
-// page returns what a read gets when older entries have expired.
+// page returns the result of a read when the entries before oldest have expired.
 func (s *stream) page(from, oldest uint64, limit int) provider.Page {
 	p := provider.Page{Oldest: oldest, Next: uint64(len(s.entries))}
 	for _, e := range s.entries[max(from, oldest):] {
@@ -69,7 +70,7 @@
 	return follower.New(func() *zone.State { return zone.New("a") })
 }
 
-// catchUp reads on until the tail.
+// catchUp reads until the tail.
 func (s *stream) catchUp(f *follower.Follower, oldest uint64, limit int) {
 	for range len(s.entries) + 2 {
 		f.Feed(start, start, s.page(f.Next(), oldest, limit))
@@ -83,12 +84,10 @@
 	return string(data)
 }
 
-// Symptom: an instance that starts late decides from another state than the
-// others.
-// Sequence: records expire; snapshots are written in between; instances start
-// when any number of records has expired, and read pages of any size.
-// Cause: records between a snapshot's state and its place in the stream are
-// dropped or folded twice.
+// Instances start when any number of records has expired, with snapshots in
+// between, and read pages of any size. Records between a snapshot's state and
+// its position in the stream must be applied exactly once, or a late joiner's
+// state differs from that of the others.
 func TestLateJoiner(t *testing.T) {
 	is := is.New(t)
 	s := newStream(t)
@@ -107,7 +106,7 @@
 			s.catchUp(f, oldest, limit)
 			if !f.Ready() {
 				_, lost := f.Lost()
-				is.True(lost) // says that there is no snapshot left
+				is.True(lost) // no snapshot is left
 				continue
 			}
 			joined++
@@ -117,10 +116,9 @@
 	is.True(joined > 100)
 }
 
-// Symptom: an instance that was cut off goes on from a state that lacks
-// records.
-// Sequence: it reads up to an offset; records after it expire; it reads again.
-// Cause: the page's first entry is taken for the next one.
+// Records after the last read offset expire before the next read. If the first
+// entry of that page were taken for the next record, an instance that was cut
+// off would continue with a state that lacks records.
 func TestGap(t *testing.T) {
 	is := is.New(t)
 	s := newStream(t)
@@ -144,9 +142,9 @@
 	is.Equal(encoded(t, f.State()), encoded(t, s.state))
 }
 
-// losers returns a stream whose first six records expired, with the recovery
-// snapshots of two instances that had folded two and one of them.
-func losers(t *testing.T) *stream {
+// recoveryStream returns a stream whose first six records expired, with the
+// recovery snapshots of two instances that had applied two and one of them.
+func recoveryStream(t *testing.T) *stream {
 	s := newStream(t)
 	for range 6 {
 		s.submit()
@@ -164,13 +162,12 @@
 	return s
 }
 
-// Symptom: after all snapshots expired, instances go on from different states.
-// Sequence: two instances write what they had as recovery snapshots; others
-// read both, one of which has all records.
-// Cause: each takes its own, or the last one, or stays with what it has.
+// After all snapshots expired, two instances write recovery snapshots, and other
+// instances, one of them with all records, read both. If a reader took its own,
+// took the last one or kept its state, the states would differ.
 func TestFirstRecoverySnapshotDecides(t *testing.T) {
 	is := is.New(t)
-	s := losers(t)
+	s := recoveryStream(t)
 	full := newFollower()
 	s.catchUp(full, 0, 100)
 	late := newFollower()
@@ -181,9 +178,9 @@
 		s.catchUp(f, 6, 1)
 		is.True(f.Ready())
 		_, ok := f.State().Task("t1")
-		is.True(ok) // the first writer knew of it
+		is.True(ok) // in the first recovery snapshot
 		_, ok = f.State().Task("t2")
-		is.True(!ok) // and not of this
+		is.True(!ok) // not in the first recovery snapshot
 		is.Equal(encoded(t, f.State()), encoded(t, late.State()))
 	}
 }
@@ -196,13 +193,12 @@
 	return provider.Entry{Offset: uint64(len(s.entries)), Time: start.Add(d), Data: data}
 }
 
-// Symptom: a new instance empties the queue of a zone.
-// Sequence: it finds no snapshot and writes a recovery snapshot; an instance
-// that has the state is alive, and writes a regular one.
-// Cause: whoever lost the state decides for those who have it.
+// A new instance finds no snapshot and writes a recovery snapshot, while an
+// instance that has the state writes a regular one. If the recovery snapshot
+// won, a new instance would empty the queue of a zone.
 func TestStateOverrulesRecovery(t *testing.T) {
 	is := is.New(t)
-	s := losers(t)
+	s := recoveryStream(t)
 	s.snapshot()
 	s.entries = append(s.entries, s.later(t, follower.Grace))
 	s.state.Apply(9, s.entries[9].Time, mustDecode(t, s.entries[9].Data))
@@ -214,10 +210,8 @@
 	}
 }
 
-// Symptom: after an upgrade of some instances, the others own tasks that the
-// upgraded ones gave away.
-// Sequence: a record of a newer version is read.
-// Cause: what isn't understood is skipped.
+// Reading must stop at a record of a newer version. If it were skipped, old
+// instances would own tasks that upgraded ones have given away.
 func TestNewerVersionStops(t *testing.T) {
 	is := is.New(t)
 	s := newStream(t)
@@ -230,12 +224,11 @@
 	s.catchUp(f, 0, 100)
 	is.True(!f.Ready())
 	is.Equal(f.Newer(), uint(record.Version+1))
-	is.Equal(f.Next(), uint64(1)) // it stays before the record
+	is.Equal(f.Next(), uint64(1)) // the offset of the newer record
 }
 
-// Symptom: a damaged record stops a zone.
-// Sequence: an entry that is no record is read.
-// Cause: it is taken for one of a newer version.
+// An entry that can't be decoded must be skipped. If it were taken for a record
+// of a newer version, one damaged entry would stop a zone.
 func TestDamagedRecordIsSkipped(t *testing.T) {
 	is := is.New(t)
 	s := newStream(t)
