--- a/fault/error.go
+++ b/fault/error.go
@@ -28,13 +28,14 @@
 	return e
 }
 
-// After returns e with a time to come back.
+// After sets the retry delay of e and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Error returns the message, with the cause where there is one.
+// Error returns the kind with the cause if there is one, and otherwise with the
+// message.
 func (e *Error) Error() string {
 	if e.Cause != nil {
 		return e.Kind.String() + ": " + e.Cause.Error()
@@ -47,8 +48,8 @@
 	return e.Cause
 }
 
-// Answer returns the answer of the error's kind with the error's own time to
-// come back.
+// Answer returns the answer of the error's kind, with the error's own retry
+// delay if it is set.
 func (e *Error) Answer() Answer {
 	a := e.Kind.Answer()
 	if e.RetryAfter > 0 {
@@ -57,7 +58,7 @@
 	return a
 }
 
-// KindOf returns the kind of err, and Internal when it has none.
+// KindOf returns the kind of err, or Internal if it has none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/fault/kind.go
+++ b/fault/kind.go
@@ -1,6 +1,6 @@
-// Package fault is the closed list of error kinds. Every error that reaches
-// a caller, a peer or an operator has one kind, and one table tells for each
-// kind the HTTP status, whether the work ran, and when to come back.
+// Package fault defines the closed list of error kinds. Every error that reaches
+// a caller, a peer or an operator has one kind. A table gives the HTTP status of
+// each kind, whether the work ran, and the default retry delay.
 //
 // Usage:
 //
@@ -9,8 +9,8 @@
 //	}
 //	answer := fault.KindOf(err).Answer()
 //
-// A kind whose Ran is NotRun may be reported only when the request provably
-// never reached a worker, or the worker itself refused it.
+// A kind whose Ran is NotRun may be reported only if the request provably never
+// reached a worker, or the worker itself refused it.
 package fault
 
 //go:generate go tool stringer -type=Kind,Ran -output=strings.go
@@ -27,7 +27,7 @@
 	NotFound                   // no such group, service, job or task
 	Conflict                   // another change won
 	Overloaded                 // no capacity before the deadline
-	OverShare                  // the group's share is in use
+	OverShare                  // the group's share is fully used
 	DeadlinePassed             // the deadline passed before anything was sent
 	NoWorker                   // no worker of the service can be reached
 	Leaving                    // the instance is shutting down
@@ -36,14 +36,14 @@
 	Expired                    // the log no longer keeps the offset
 	Duplicate                  // the request key was seen before
 	TimedOut                   // sent, no answer by the deadline
-	Broken                     // sent, the connection failed or went silent
+	Broken                     // sent, then the connection failed or went silent
 	Truncated                  // the answer ended early
-	MayHaveRun                 // an action whose answer was lost
+	MayHaveRun                 // the answer to an action was lost
 	TooLarge                   // the input is above a size bound
 	kinds
 )
 
-// Ran tells whether the work of a failed request was carried out.
+// Ran tells whether the work of a failed request was executed.
 type Ran int
 
 // Values of Ran.
@@ -53,11 +53,11 @@
 	DidRun
 )
 
-// Answer is what a kind means to whoever asked.
+// Answer is the response to a caller for an error kind.
 type Answer struct {
 	Status     int           // HTTP status
 	Ran        Ran           // whether the work ran
-	RetryAfter time.Duration // default time to come back; zero says don't
+	RetryAfter time.Duration // default retry delay; zero means don't retry
 }
 
 var answers = [kinds]Answer{
@@ -81,7 +81,7 @@
 	TooLarge:       {Status: 413, Ran: NotRun},
 }
 
-// Answer returns the row of the table for k.
+// Answer returns the answer for k.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= kinds {
 		return answers[Internal]
--- a/record/codec.go
+++ b/record/codec.go
@@ -14,8 +14,7 @@
 	decoder = newDecoder()
 )
 
-// Encode returns the CBOR form of r. The same record always gives the same
-// bytes.
+// Encode returns the CBOR encoding of r. Equal records give equal bytes.
 func Encode(r Record) ([]byte, error) {
 	if r.Version == 0 {
 		r.Version = Version
@@ -27,9 +26,9 @@
 	return data, nil
 }
 
-// Decode returns the record in data. A record of a newer version gives
-// fault.Invalid with its version still set in the result, so that a reader
-// can tell a newer writer from damage.
+// Decode returns the record in data. For a record of a newer version it fails
+// with fault.Invalid but sets the version in the result, so that a reader can
+// distinguish a newer writer from a damaged record.
 func Decode(data []byte) (Record, error) {
 	if len(data) > MaxSize {
 		return Record{}, fault.New(fault.TooLarge, "record of %d bytes, limit %d", len(data), MaxSize)
--- a/record/record.go
+++ b/record/record.go
@@ -1,15 +1,15 @@
-// Package record defines what is written to an availability zone's stream in
-// the log service, and its compact CBOR form.
+// Package record defines the records of an availability zone's stream in the log
+// service, and their compact CBOR encoding.
 //
 // Usage:
 //
 //	data, err := record.Encode(record.Record{Writer: w, Sequence: 7, Claim: &record.Claim{...}})
 //	r, err := record.Decode(entry.Data)
 //
-// A Record carries exactly one body. Its writer numbers its records with a
-// sequence that only grows: the fold ignores a record whose sequence is not
-// above the last one it took from that writer, so a record that was appended
-// twice, or that arrives after the writer gave it up, changes nothing.
+// A Record has exactly one body. A writer numbers its records with an increasing
+// sequence. Readers ignore a record whose sequence is not above the last one
+// that they accepted from that writer, so a record that was appended twice, or
+// that arrives after the writer gave it up, changes nothing.
 package record
 
 import (
@@ -18,11 +18,11 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Version is the newest record version this program writes and understands.
+// Version is the newest record version that this program reads and writes.
 const Version = 1
 
-// Writer names one run of an entry instance. A restart under the same ID has
-// a larger incarnation.
+// Writer identifies one incarnation of an entry instance. A restart under the
+// same ID has a larger incarnation.
 type Writer struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -50,16 +50,16 @@
 	Park     *Park     `cbor:"16,keyasint,omitempty"`
 }
 
-// Limits sets what each group may hold in this zone. It is void unless its
-// revision is above the one in force.
+// Limits sets the resources that each group may use in this zone. It is void
+// unless its revision is above the one in force.
 type Limits struct {
 	Revision uint64                     `cbor:"1,keyasint"`
-	Groups   map[string]resource.Vector `cbor:"2,keyasint"` // for batch, after services are taken off
+	Groups   map[string]resource.Vector `cbor:"2,keyasint"` // for batch work, after subtracting services
 }
 
-// Submit adds tasks to the queue. A task whose ID is known changes nothing,
-// but for a declared one that was cancelled after it had ended: it is queued
-// again, with the next attempt.
+// Submit adds tasks to the queue. A task whose ID is known is refused, unless it
+// is declared and the known one has ended and isn't declared, for example because
+// it was cancelled: then it is queued again with the next attempt number.
 type Submit struct {
 	Tasks []Task `cbor:"1,keyasint"`
 }
@@ -67,104 +67,106 @@
 // Task is the declaration of a batch task.
 type Task struct {
 	ID       string          `cbor:"1,keyasint"`
-	Job      string          `cbor:"2,keyasint,omitempty"` // several tasks may belong to a job
+	Job      string          `cbor:"2,keyasint,omitempty"` // job that the task belongs to
 	Group    string          `cbor:"3,keyasint"`
 	Need     resource.Vector `cbor:"4,keyasint"`
 	Command  string          `cbor:"5,keyasint,omitempty"`
 	Duration time.Duration   `cbor:"6,keyasint,omitempty"`
 	Urgent   bool            `cbor:"7,keyasint,omitempty"`
-	Declared bool            `cbor:"8,keyasint,omitempty"` // remembered until it is cancelled, also when it has ended
+	Declared bool            `cbor:"8,keyasint,omitempty"` // kept until it is cancelled, even after it has ended
 }
 
-// Own states that the writer holds a worker's lease at an epoch, and what
-// the worker held when the lease was granted. It is void when the writer is
-// fenced or the epoch isn't above the one on record.
+// Own states that the writer holds a worker's lease at an epoch, and lists the
+// tasks that the worker held when the lease was granted. It is void if the
+// writer is fenced or the epoch isn't above the recorded one.
 type Own struct {
 	Worker   string          `cbor:"1,keyasint"`
 	Epoch    uint64          `cbor:"2,keyasint"`
 	Capacity resource.Vector `cbor:"3,keyasint"`
 	Rack     string          `cbor:"4,keyasint,omitempty"`
-	Held     []Attempt       `cbor:"5,keyasint,omitempty"` // batch tasks running or with a result kept
+	Held     []Attempt       `cbor:"5,keyasint,omitempty"` // batch tasks that run or whose result is kept
 }
 
-// Attempt names one attempt at a task.
+// Attempt identifies one attempt at a task.
 type Attempt struct {
 	Task   string `cbor:"1,keyasint"`
 	Number uint32 `cbor:"2,keyasint"`
 }
 
-// Claim moves queued tasks into the writer's escrow. Each task is taken or
-// refused by itself.
+// Claim moves queued tasks into the writer's escrow. Each task is accepted or
+// refused on its own.
 type Claim struct {
 	Tasks []string `cbor:"1,keyasint"`
 }
 
-// Return gives back escrowed tasks that the writer has not started. It is void
-// for a task whose attempt an Own record found on a worker.
+// Return queues escrowed tasks again that the writer has not started. A task
+// whose current attempt an Own record listed as held by a worker is refused.
 type Return struct {
 	Tasks []string `cbor:"1,keyasint"`
 }
 
-// Done completes a task. Only the current attempt, from its owner, counts.
+// Done completes a task. It is void unless it names the current attempt and
+// comes from its owner.
 type Done struct {
 	Attempt Attempt `cbor:"1,keyasint"`
 	Worker  string  `cbor:"2,keyasint"`
 	Result  string  `cbor:"3,keyasint,omitempty"`
 }
 
-// Evicted ends an attempt without blame and queues the next one.
+// Evicted ends an attempt without counting a failure and queues the next one.
 type Evicted struct {
 	Attempt    Attempt `cbor:"1,keyasint"`
 	Worker     string  `cbor:"2,keyasint"`
 	Checkpoint string  `cbor:"3,keyasint,omitempty"`
 }
 
-// Failed ends an attempt that the task or the worker is to blame for and
-// queues the next one, unless the task has failed on enough sound workers.
+// Failed ends an attempt, counts a failure for the task and the worker, and
+// queues the next attempt unless the task has failed on enough workers that
+// aren't quarantined.
 type Failed struct {
 	Attempt Attempt `cbor:"1,keyasint"`
 	Worker  string  `cbor:"2,keyasint"`
 	Reason  string  `cbor:"3,keyasint,omitempty"`
 }
 
-// Cancel ends tasks, and lets ended ones that were declared be forgotten: a
-// queued one ends at once, an escrowed one when its owner
-// reports that it stopped (Evicted, Failed or Done; whichever comes first).
+// Cancel ends tasks, and allows ended ones that were declared to be forgotten. A
+// queued task ends at once, an escrowed one when its owner reports the end of
+// the attempt (the first of Evicted, Failed or Done).
 type Cancel struct {
 	Tasks []string `cbor:"1,keyasint,omitempty"`
 	Jobs  []string `cbor:"2,keyasint,omitempty"`
 }
 
-// Park sets a queued task aside that can't run as declared.
+// Park parks a queued task that can't run as declared.
 type Park struct {
 	Task   string `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
 
-// Fence voids all later records of one run of an instance and starts the
-// recovery of its escrow.
+// Fence makes all later records of one incarnation of an instance void and
+// starts the recovery of its escrow.
 type Fence struct {
 	Instance Writer `cbor:"1,keyasint"`
 }
 
-// Lapse states that the writer waited out every lease that a fenced owner
-// may have extended on a worker at an epoch. It is void when the worker has
-// a newer epoch on record or its owner isn't fenced.
+// Lapse states that the writer has waited until every lease that a fenced owner
+// may have extended on a worker at an epoch has ended. It is void if the worker
+// has a newer recorded epoch or its owner isn't fenced.
 type Lapse struct {
 	Worker string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
 }
 
 // Snapshot holds the zone's state after the record at offset At. A recovery
-// snapshot is written when records expired before anyone folded them: it
-// carries on from the newest state that its writer had, and the first one
-// that a reader without a state meets decides.
+// snapshot is written if records expired before any instance applied them. It
+// holds the newest state that its writer had; the first one in the stream takes
+// effect unless a regular snapshot overrules it.
 type Snapshot struct {
 	At       uint64 `cbor:"1,keyasint"`
 	State    []byte `cbor:"2,keyasint"`
 	Recovery bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// Marker has no effect but to show how far the stream goes: once a writer
-// reads it back, none of its earlier records can still take effect.
+// Marker has no effect of its own. Once a writer reads it back, none of its
+// earlier records that it hasn't read can still take effect.
 type Marker struct{}
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -16,7 +16,7 @@
 
 var need = resource.Vector{Processors: 1500, Memory: 2048, Accelerators: 1}
 
-// samples has one record of each kind, with every field set.
+// samples returns one record of each kind with all fields set.
 func samples() []Record {
 	attempt := Attempt{Task: "t1", Number: 3}
 	task := Task{
@@ -46,11 +46,9 @@
 	return bodies
 }
 
-// Symptom: after an upgrade old instances can't read what new ones write, or
-// the other way round.
-// Sequence: a field gets another key or form while the version stays.
-// Cause: an encoding that changed unnoticed. The golden file has the bytes of
-// each kind; it may gain lines, but a line changes only with the version.
+// Guards against an unnoticed change of the encoding, after which old and new
+// instances can't read each other's records. The golden file has the bytes of
+// each kind; it may gain lines, but a line may change only with the version.
 func TestEncodedForm(t *testing.T) {
 	is := is.New(t)
 	var b strings.Builder
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous maps keys to members by highest random weight. Every
-// instance with the same members gives the same answer, with no messages,
-// and a member that joins or leaves moves only the keys it gains or held.
+// Package rendezvous implements rendezvous (highest random weight) hashing of
+// keys to members. Instances with the same members get the same result without
+// messages, and a member that joins or leaves moves only its own keys.
 //
 // Usage:
 //
@@ -17,29 +17,29 @@
 
 const separator = "\x00" // keeps ("ab", "c") and ("a", "bc") apart
 
-// Pick returns the member with the highest weight for key, and false when
-// there are no members.
+// Pick returns the member with the highest weight for key, and false if there
+// are no members.
 func Pick(key string, members []string) (string, bool) {
 	if len(members) == 0 {
 		return "", false
 	}
-	best := weigh(key, members[0])
+	best := weightOf(key, members[0])
 	for _, id := range members[1:] {
-		if w := weigh(key, id); compare(w, best) < 0 {
+		if w := weightOf(key, id); compareWeights(w, best) < 0 {
 			best = w
 		}
 	}
 	return best.id, true
 }
 
-// Order returns the members by falling weight for key; the first is the one
-// that Pick returns.
+// Order returns the members by descending weight for key. The first is the
+// result of Pick.
 func Order(key string, members []string) []string {
 	weights := make([]weight, 0, len(members))
 	for _, id := range members {
-		weights = append(weights, weigh(key, id))
+		weights = append(weights, weightOf(key, id))
 	}
-	slices.SortFunc(weights, compare)
+	slices.SortFunc(weights, compareWeights)
 	order := make([]string, 0, len(weights))
 	for _, w := range weights {
 		order = append(order, w.id)
@@ -52,7 +52,7 @@
 	value uint64
 }
 
-func weigh(key, id string) weight {
+func weightOf(key, id string) weight {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(id) // never fails
@@ -61,7 +61,7 @@
 	return weight{id: id, value: digest.Sum64()}
 }
 
-// compare sorts the heavier first, and equal weights by ID.
-func compare(a, b weight) int {
+// compareWeights orders by descending weight, and equal weights by ID.
+func compareWeights(a, b weight) int {
 	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.id, b.id))
 }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -25,8 +25,8 @@
 	return list
 }
 
-// A member that leaves moves only its own keys, each to the next in order,
-// and one that joins only takes keys. The order of the list doesn't matter.
+// A member that leaves moves only its own keys, each to the next member in
+// order; conversely a member that joins only gains keys.
 func TestMinimalMovement(t *testing.T) {
 	keys := names("worker", 220)
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,7 +51,7 @@
 }
 
 // The weights are part of the protocol between instances of different
-// versions, so the picks of fixed keys may not change.
+// versions, so the results for fixed keys must not change.
 func TestSpreadAndStability(t *testing.T) {
 	is := is.New(t)
 	members := names("entry", 8)
--- a/revision/history.go
+++ b/revision/history.go
@@ -1,6 +1,6 @@
-// Package revision decides which configuration is in force. It folds the
-// configuration stream, which all availability zones share, and takes over
-// what peers pass on to an instance that is cut off from the log.
+// Package revision decides which configuration is in force. It applies the
+// records of the configuration stream, which all availability zones share, and
+// adopts revisions that peers send to an instance that is cut off from the log.
 //
 // Usage:
 //
@@ -15,11 +15,11 @@
 //	}
 //	use(history.Current().Manifest)
 //
-// A Publish names the revision it replaces. The order of the log settles
-// conflicts: the first one wins and the others are void, at every instance
-// alike. An instance that can't read the start of the stream knows nothing
-// until it reads a Restate; until then it serves what peers gave it. The
-// revision of Current only grows.
+// A Publish names the revision that it replaces. The order of the log resolves
+// conflicts: the first one wins and the others are void at every instance. An
+// instance that can't read the start of the stream doesn't know the revision in
+// force until it reads a Restate; until then it uses the revision adopted from
+// peers. The revision of Current never decreases.
 //
 // A History holds at most two manifests of MaxManifest bytes.
 package revision
@@ -31,29 +31,29 @@
 	Number   uint64 // 0 before the first
 	Digest   uint64 // of Manifest
 	Manifest []byte
-	Author   string // unknown when a peer passed the revision on
+	Author   string // empty if the revision was adopted from a peer
 	Key      string
 	Offset   uint64 // of the record that published it
 }
 
-// History is the fold of the configuration stream. It isn't safe for
+// History is the result of applying the configuration stream. It isn't safe for
 // concurrent use.
 type History struct {
-	next    uint64 // offset of the next record
-	folded  Revision
-	known   bool   // folded is in force before next
-	changes uint64 // no Publish that may count lies at or after it, as far as was read
-	anchor  uint64
-	current Revision
-	clashes uint64
+	next           uint64   // offset of the next record
+	inForce        Revision // in force in the stream before next, if known
+	known          bool
+	noPublishSince uint64 // offset from which on no Publish that may be valid was read
+	anchor         uint64
+	current        Revision // in force at this instance
+	clashes        uint64
 }
 
 // New returns the history of a stream from its first record on.
 func New() *History {
-	return &History{known: true, folded: initial(), current: initial()}
+	return &History{known: true, inForce: initial(), current: initial()}
 }
 
-// initial is what is in force before the first revision.
+// initial returns the empty configuration before the first revision.
 func initial() Revision {
 	return Revision{Digest: xxhash.Sum64(nil)}
 }
@@ -68,39 +68,39 @@
 	return h.current
 }
 
-// Known reports whether the records read so far tell what is in force in the
-// stream.
+// Known reports whether the records read so far determine the revision in force
+// in the stream.
 func (h *History) Known() bool {
 	return h.known
 }
 
-// Anchor returns the offset from which, or from any before it, a late joiner
-// can start to read. A Restate is due before the log drops it.
+// Anchor returns the latest offset at which a late joiner can start to read. A
+// new Restate must be written before the log drops it.
 func (h *History) Anchor() uint64 {
 	return h.anchor
 }
 
-// Clashes counts the times that one revision was seen with two contents. Any
-// is a defect.
+// Clashes returns how often one revision number was seen with two contents. A
+// value above zero indicates a defect.
 func (h *History) Clashes() uint64 {
 	return h.clashes
 }
 
 // Restart continues at the oldest offset that the log still keeps.
 //
-// The records between were never read. A Publish among them may have replaced
-// the revision known here; a fold that went on would take a later Publish with
-// the same base as valid, and two instances would hold different contents
-// under one number. So nothing is known until a Restate says what is in force.
+// The records in between were never read. A Publish among them may have replaced
+// the revision known here; continuing would accept a later Publish with the same
+// base as valid, and two instances would hold different contents under one
+// number. So the revision in force is unknown until a Restate is read.
 func (h *History) Restart(oldest uint64) {
 	if oldest <= h.next {
 		return
 	}
 	h.next = oldest
-	h.forget()
+	h.forgetRevision()
 }
 
-// Apply folds the record at offset. The same records give the same revisions
+// Apply applies the record at offset. The same records give the same revisions
 // at every instance.
 func (h *History) Apply(offset uint64, data []byte) Outcome {
 	if offset < h.next {
@@ -111,7 +111,7 @@
 	record, err := Decode(data)
 	switch {
 	case record.Version > Version:
-		h.forget() // instances of the newer version may have taken it
+		h.forgetRevision() // instances of the newer version may have applied it
 		return h.outcome(Unknown, offset)
 	case err != nil:
 		return h.outcome(Ignored, offset)
@@ -122,13 +122,13 @@
 	}
 }
 
-// Adopt takes over a revision that a peer passed on and reports whether it is
-// in force now.
+// Adopt adopts a revision from a peer and reports whether it is now in force at
+// this instance.
 //
-// A heartbeat can be late, damaged or from a peer that is behind. Taken
-// unchecked it would put an older configuration back in force, and an operator
-// would see an accepted change undone. So the number must grow, the content
-// must match its digest, and an equal number with another content is counted.
+// The revision of a peer can be late, damaged or outdated. Without checks it
+// could put an older configuration back in force and undo an accepted change. So
+// the number must grow and the content must match its digest. An equal number
+// with a different content is counted as a clash.
 func (h *History) Adopt(number, digest uint64, manifest []byte) bool {
 	if len(manifest) == 0 || len(manifest) > MaxManifest || xxhash.Sum64(manifest) != digest {
 		return false
@@ -143,13 +143,13 @@
 	return true
 }
 
-// Restate returns the record that lets late joiners start, or false when it
-// isn't known here what is in force.
+// Restate returns the record that lets late joiners start, or false if the
+// revision in force isn't known here.
 func (h *History) Restate() (Record, bool) {
 	if !h.known {
 		return Record{}, false
 	}
-	r := h.folded
+	r := h.inForce
 	return Record{Restate: &Restate{
 		Next:     h.next,
 		Revision: r.Number,
@@ -161,58 +161,59 @@
 }
 
 func (h *History) publish(offset uint64, p *Publish) Outcome {
-	unread := h.changes
-	h.changes = offset + 1
+	unread := h.noPublishSince
+	h.noPublishSince = offset + 1
 	if p.Anew {
 		return h.publishAnew(offset, p, unread)
 	}
 	switch {
 	case !h.known:
 		return h.outcome(Unknown, offset)
-	case h.published(p):
+	case h.isInForce(p):
 		return h.outcome(Repeated, offset)
-	case p.Base != h.folded.Number:
+	case p.Base != h.inForce.Number:
 		return h.outcome(Void, offset)
 	}
-	h.fold(newRevision(p.Base+1, offset, p))
+	h.setRevision(newRevision(p.Base+1, offset, p))
 	return h.outcome(Published, offset)
 }
 
-// publishAnew takes p if nothing was published since its writer read the
-// stream. Each revision takes a record of its own, so offset+1 is above all
-// earlier ones.
+// publishAnew accepts p if nothing was published since its writer read the
+// stream. Each revision has its own record, so offset+1 is above all earlier
+// numbers.
 //
-// A copy of the record may arrive long after it took effect. Taken again it
-// would undo what was published in between. An instance that knows what is in
-// force sees that from its offset; one that doesn't takes the record only if
-// it has read all of the stream from p.Next on and met no Publish there.
+// A copy of the record may arrive long after it took effect; accepting it again
+// would undo later revisions. An instance that knows the revision in force
+// detects that from its offset. One that doesn't accepts the record only if it
+// has read all of the stream from p.Next on and found no Publish there.
 func (h *History) publishAnew(offset uint64, p *Publish, unread uint64) Outcome {
 	switch {
 	case !h.known && p.Next < unread:
 		return h.outcome(Unknown, offset)
-	case h.known && h.published(p):
+	case h.known && h.isInForce(p):
 		return h.outcome(Repeated, offset)
-	case h.known && h.folded.Number > 0 && h.folded.Offset >= p.Next:
+	case h.known && h.inForce.Number > 0 && h.inForce.Offset >= p.Next:
 		return h.outcome(Void, offset)
 	}
-	h.fold(newRevision(offset+1, offset, p))
+	h.setRevision(newRevision(offset+1, offset, p))
 	return h.outcome(Published, offset)
 }
 
-// published reports whether p is a copy of what is in force.
-func (h *History) published(p *Publish) bool {
-	return h.folded.Number > 0 && p.Key == h.folded.Key && p.Author == h.folded.Author
+// isInForce reports whether p is a copy of the record that published the
+// revision in force.
+func (h *History) isInForce(p *Publish) bool {
+	return h.inForce.Number > 0 && p.Key == h.inForce.Key && p.Author == h.inForce.Author
 }
 
-// restate lets a late joiner start.
+// restate applies a Restate, from which a late joiner starts.
 //
-// The writer read the stream up to r.Next only. A Publish between there and
-// this record makes the revision an old one; a joiner that started from it
-// would judge every later Publish by the wrong base and drift away from the
-// others for good. So the record counts only for an instance that has read all
-// of the stream from r.Next on and met no Publish there.
+// The writer has read the stream only up to r.Next. A Publish between there and
+// this record makes the revision outdated; a joiner that started from it would
+// check every later Publish against the wrong base and diverge permanently. So
+// the record is accepted only if the instance has read all of the stream from
+// r.Next on and found no Publish there.
 func (h *History) restate(offset uint64, r *Restate) Outcome {
-	if r.Next > offset || r.Next < h.changes {
+	if r.Next > offset || r.Next < h.noPublishSince {
 		return h.outcome(Stale, offset)
 	}
 	revision := Revision{
@@ -223,19 +224,20 @@
 		Key:      r.Key,
 		Offset:   r.Offset,
 	}
-	if h.known && (revision.Number != h.folded.Number || revision.Digest != h.folded.Digest) {
+	if h.known && (revision.Number != h.inForce.Number || revision.Digest != h.inForce.Digest) {
 		h.clashes++
 		return h.outcome(Stale, offset)
 	}
-	h.fold(revision)
+	h.setRevision(revision)
 	h.anchor = r.Next
 	return h.outcome(Restated, offset)
 }
 
-// fold makes r the revision in force in the stream, and here unless a peer
-// passed on a later one. The log goes before peers when contents differ.
-func (h *History) fold(r Revision) {
-	h.folded = r
+// setRevision makes r the revision in force in the stream, and at this instance
+// unless a later one was adopted from a peer. If contents differ under one
+// number, the log has priority over peers.
+func (h *History) setRevision(r Revision) {
+	h.inForce = r
 	h.known = true
 	if r.Number == h.current.Number && r.Digest != h.current.Digest && r.Number > 0 {
 		h.clashes++
@@ -245,14 +247,14 @@
 	}
 }
 
-func (h *History) forget() {
+func (h *History) forgetRevision() {
 	h.known = false
-	h.folded = initial()
-	h.changes = h.next
+	h.inForce = initial()
+	h.noPublishSince = h.next
 }
 
 func (h *History) outcome(kind Kind, offset uint64) Outcome {
-	winner := h.folded
+	winner := h.inForce
 	winner.Manifest = nil
 	return Outcome{Kind: kind, Offset: offset, Winner: winner}
 }
--- a/revision/history_test.go
+++ b/revision/history_test.go
@@ -22,12 +22,12 @@
 	os.Exit(m.Run())
 }
 
-// machine is a stream with instances that read it at their own pace, and a
+// model is a stream with instances that read it at different speeds, and a
 // reference that reads every record when it is appended.
-type machine struct {
+type model struct {
 	entries   [][]byte
 	oldest    uint64
-	pending   [][]byte // written, not appended yet
+	pending   [][]byte // written but not appended yet
 	reference *History
 	truth     []Revision // truth[n] is in force before offset n
 	instances []*History
@@ -37,13 +37,13 @@
 	published map[string]bool // keys of the records that took effect
 }
 
-// Whatever the interleaving of publishes, restates, adoptions, lost records
-// and late joiners, revisions only grow at an instance, one revision has one
-// content, and an instance that knows what is in force is right.
+// For any interleaving of publishes, restates, adoptions, expired records and
+// late joiners, the revision of an instance never decreases, one revision has
+// one content, and an instance that knows the revision in force has the right one.
 func TestHistoryProperty(t *testing.T) {
 	reached := map[Kind]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{
+		m := &model{
 			reference: New(),
 			truth:     []Revision{initial()},
 			instances: []*History{New(), New(), New()},
@@ -79,7 +79,7 @@
 	}
 }
 
-func (m *machine) publish(t *rapid.T, i int, anew bool) {
+func (m *model) publish(t *rapid.T, i int, anew bool) {
 	h := m.instances[i]
 	m.written++
 	m.write(t, Record{Publish: &Publish{
@@ -92,13 +92,13 @@
 	}})
 }
 
-func (m *machine) restate(t *rapid.T, i int) {
+func (m *model) restate(t *rapid.T, i int) {
 	if r, ok := m.instances[i].Restate(); ok {
 		m.write(t, r)
 	}
 }
 
-func (m *machine) write(t *rapid.T, r Record) {
+func (m *model) write(t *rapid.T, r Record) {
 	data, err := Encode(r)
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 	m.pending = append(m.pending, data)
 }
 
-// append takes one pending record in any order; keep leaves it there, as when
-// an answer is lost and the writer appends a second copy.
-func (m *machine) append(t *rapid.T, keep bool) {
+// append appends one pending record in any order. keep leaves it pending, as if
+// the answer were lost and the writer appended a second copy.
+func (m *model) append(t *rapid.T, keep bool) {
 	if len(m.pending) == 0 {
 		return
 	}
@@ -125,10 +125,10 @@
 		m.published[key] = true
 	}
 	m.entries = append(m.entries, data)
-	m.truth = append(m.truth, m.reference.folded)
+	m.truth = append(m.truth, m.reference.inForce)
 }
 
-func (m *machine) read(t *rapid.T, i int, reached map[Kind]int) {
+func (m *model) read(t *rapid.T, i int, reached map[Kind]int) {
 	h := m.instances[i]
 	h.Restart(m.oldest)
 	if h.Next() > 0 && h.Next() > m.oldest && rapid.Bool().Draw(t, "again") {
@@ -142,7 +142,7 @@
 	}
 }
 
-func (m *machine) check(t *rapid.T) {
+func (m *model) check(t *rapid.T) {
 	for i, h := range m.instances {
 		r := h.Current()
 		if r.Number < m.highest[i] {
@@ -157,15 +157,14 @@
 			t.Fatalf("instance %d counted %d clashes", i, h.Clashes())
 		}
 		truth := m.truth[h.Next()]
-		if h.Known() && (h.folded.Number != truth.Number || h.folded.Digest != truth.Digest) {
-			t.Fatalf("instance %d folded revision %d before offset %d, in force was %d", i, h.folded.Number, h.Next(), truth.Number)
+		if h.Known() && (h.inForce.Number != truth.Number || h.inForce.Digest != truth.Digest) {
+			t.Fatalf("instance %d folded revision %d before offset %d, in force was %d", i, h.inForce.Number, h.Next(), truth.Number)
 		}
 	}
 }
 
-// Symptom: an operator's change is gone although it was accepted.
-// Sequence: two operators publish over the same revision at once.
-// Cause: without a base, the second record would replace the first unseen.
+// Two operators publish over the same revision at once. Without the check of the
+// base, the second record would silently undo an accepted change.
 func TestConflictNamesWinner(t *testing.T) {
 	is := is.New(t)
 	h := New()
@@ -173,15 +172,14 @@
 	second := encode(t, Record{Publish: &Publish{Author: "juma", Key: "b", Manifest: []byte("two")}})
 	is.Equal(h.Apply(0, first).String(), `offset=0 outcome=Published revision=1 author="asha" published=0`)
 	is.Equal(h.Apply(1, second).String(), `offset=1 outcome=Void revision=1 author="asha" published=0`)
-	is.Equal(h.Apply(2, first).Kind, Repeated) // a copy, its answer was lost
+	is.Equal(h.Apply(2, first).Kind, Repeated) // a copy after a lost answer
 	is.Equal(string(h.Current().Manifest), "one")
 }
 
-// Symptom: during a rolling upgrade two instances hold different contents
-// under one revision.
-// Sequence: a newer instance publishes a record of a newer version over
-// revision 0; an operator publishes over revision 0 as well.
-// Cause: the older instance skipped the record it couldn't read.
+// In a rolling upgrade a newer instance publishes a record of a newer version
+// over revision 0, and an operator publishes over revision 0 too. If an older
+// instance skipped the record that it can't read, two instances would hold
+// different contents under one revision.
 func TestNewerVersionIsUnknown(t *testing.T) {
 	is := is.New(t)
 	newer, err := cbor.Marshal(map[int]any{0: Version + 1, 9: "new"})
@@ -196,10 +194,9 @@
 	is.Equal(h.Apply(3, []byte("damaged")).Kind, Ignored)
 }
 
-// Symptom: an instance goes back to an older configuration, or two instances
-// differ, after a partition.
-// Sequence: a cut-off instance hears an old, a damaged and a diverging copy.
-// Cause: what peers pass on was taken unchecked.
+// An instance that is cut off receives an old, a damaged and a diverging copy
+// from peers. Without checks it would return to an older configuration or differ
+// from the others.
 func TestAdopt(t *testing.T) {
 	is := is.New(t)
 	h := New()
--- a/revision/outcome.go
+++ b/revision/outcome.go
@@ -4,23 +4,22 @@
 
 //go:generate go tool stringer -type=Kind -output=strings.go
 
-// Kind tells what became of a record.
+// Kind is the kind of an outcome.
 type Kind int
 
 // Kinds of outcomes.
 const (
-	Ignored   Kind = iota // read before, damaged or too large; the same everywhere
+	Ignored   Kind = iota // the record was read before, is damaged or too large
 	Published             // a new revision is in force
 	Repeated              // another copy of the record that published the revision in force
 	Void                  // a Publish whose base isn't in force
 	Restated              // a Restate from which a late joiner can start
-	Stale                 // a Restate that a Publish overtook; it has to be written again
-	Unknown               // what is in force can't be told yet, or the record is of a newer version
+	Stale                 // a Restate that a Publish made outdated; it must be written again
+	Unknown               // the revision in force isn't known yet, or the record is of a newer version
 )
 
-// Outcome is what became of one record. Winner is the revision in force in
-// the stream after it, without its manifest; it means nothing when Kind is
-// Unknown.
+// Outcome is the effect of one record. Winner is the revision in force in the
+// stream after it, without its manifest; it is meaningless if Kind is Unknown.
 type Outcome struct {
 	Kind   Kind
 	Offset uint64
--- a/revision/record.go
+++ b/revision/record.go
@@ -6,8 +6,7 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// Version is the newest record version that this program writes and
-// understands.
+// Version is the newest record version that this program reads and writes.
 const Version = 1
 
 // Bounds of a record, in bytes.
@@ -29,17 +28,17 @@
 type Publish struct {
 	Base     uint64 `cbor:"1,keyasint"`
 	Author   string `cbor:"2,keyasint"`
-	Key      string `cbor:"3,keyasint"` // chosen by the writer, the same in each copy that it appends
+	Key      string `cbor:"3,keyasint"` // chosen by the writer; the same in each copy that it appends
 	Manifest []byte `cbor:"4,keyasint"` // the whole desired state
-	// Anew makes the record valid whatever Base is, as revision offset+1,
-	// unless another was published at or after Next. It is for the one case in
-	// which no instance knows what is in force.
+	// Anew makes the record valid whatever Base is, as revision offset+1, unless
+	// another revision was published at or after Next. It is only for the case
+	// that no instance knows the revision in force.
 	Anew bool   `cbor:"5,keyasint,omitempty"`
 	Next uint64 `cbor:"6,keyasint,omitempty"` // offset up to which the writer has read
 }
 
 // Restate repeats the revision that is in force before the offset Next, for
-// those who can't read the record that published it.
+// readers that can't read the record that published it.
 type Restate struct {
 	Next     uint64 `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
@@ -54,8 +53,8 @@
 	decoder = newDecoder()
 )
 
-// Encode returns the CBOR form of r and refuses a record that the fold would
-// not read.
+// Encode returns the CBOR encoding of r. It fails for a record that Decode would
+// refuse.
 func Encode(r Record) ([]byte, error) {
 	r.Version = Version
 	if err := r.check(); err != nil {
@@ -101,8 +100,8 @@
 	}
 }
 
-// checkBody checks what both bodies hold; before the first revision there is
-// no author, key or manifest.
+// checkBody checks the fields that both bodies share. Before the first revision
+// there is no author, key or manifest.
 func checkBody(author, key string, manifest []byte, published bool) error {
 	if len(manifest) > MaxManifest {
 		return fault.New(fault.TooLarge, "manifest of %d bytes, limit %d", len(manifest), MaxManifest)
