--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart reads state charts from YAML and looks their transitions up.
+// Package chart reads state charts from YAML and looks up their transitions.
 //
 // Usage:
 //
@@ -11,7 +11,7 @@
 //	fmt.Print(c.Render())
 //
 // A chart names its initial state and lists its states, each with the target
-// of every event that it takes:
+// state of every event that it accepts:
 //
 //	initial: queued
 //	states:
@@ -20,10 +20,10 @@
 //	      claim: escrowed
 //	  - name: escrowed
 //
-// States and events have names outside and small numbers inside: states are
-// numbered from 0 in the order of the file, events in the order of their
-// names. A chart with an unknown target, an unreachable state, a duplicate or
-// an unknown key isn't loaded; the error tells line and column.
+// States and events are represented by small numbers: states are numbered from
+// 0 in the order of the file, events in the order of their names. A chart with
+// an unknown target, an unreachable state, a duplicate or an unknown key is
+// rejected with an error that contains the line and column.
 package chart
 
 import (
@@ -40,13 +40,13 @@
 // Event is the number of an event in its chart.
 type Event uint8
 
-// Chart is a checked state chart. It doesn't change and may be shared.
+// Chart is a valid state chart. It is immutable and may be shared.
 type Chart struct {
 	initial State
 	states  []string
 	events  []string
-	next    [][]State // by state and event; absent where there is none
-	missing [][]error // the error for each absent transition, made at load
+	next    [][]State // by state and event; absent if there is no transition
+	missing [][]error // by state and event; preallocated error of each absent transition
 }
 
 // absent marks a state and event without a transition.
@@ -55,7 +55,7 @@
 // maxNames bounds the states and the events of a chart.
 const maxNames = int(absent)
 
-// New returns the chart in data after checking it.
+// New parses and checks the chart in data.
 func New(data []byte) (*Chart, error) {
 	var f file
 	if err := yaml.UnmarshalWithOptions(data, &f, yaml.Strict()); err != nil {
@@ -67,18 +67,18 @@
 	return f.chart(), nil
 }
 
-// Initial returns the state to start in.
+// Initial returns the initial state.
 func (c *Chart) Initial() State {
 	return c.initial
 }
 
-// State returns the state of a name.
+// State returns the state with a name, and whether it exists.
 func (c *Chart) State(name string) (State, bool) {
 	i := slices.Index(c.states, name)
 	return State(max(i, 0)), i >= 0
 }
 
-// Event returns the event of a name.
+// Event returns the event with a name, and whether it exists.
 func (c *Chart) Event(name string) (Event, bool) {
 	i, ok := slices.BinarySearch(c.events, name)
 	return Event(i), ok
@@ -89,8 +89,8 @@
 	return slices.Clone(c.states)
 }
 
-// Next returns the state that follows s at e. Without such a transition it
-// returns s and an error of kind fault.Conflict. It allocates nothing.
+// Next returns the state after event e in state s. Without such a transition it
+// returns s and an error of kind fault.Conflict. It doesn't allocate.
 func (c *Chart) Next(s State, e Event) (State, error) {
 	if int(s) >= len(c.states) || int(e) >= len(c.events) {
 		return s, errUnknown
--- a/chart/file.go
+++ b/chart/file.go
@@ -11,7 +11,7 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// file is a chart as written.
+// file is the YAML form of a chart.
 type file struct {
 	Initial string      `yaml:"initial"`
 	States  []fileState `yaml:"states"`
@@ -30,7 +30,7 @@
 		return err
 	}
 	if f.index(f.Initial) < 0 {
-		return misplaced(data, "$.initial", "initial state %q is unknown", f.Initial)
+		return errorAt(data, "$.initial", "initial state %q is unknown", f.Initial)
 	}
 	if err := f.checkTargets(data); err != nil {
 		return err
@@ -40,15 +40,15 @@
 
 func (f *file) checkNames(data []byte) error {
 	for i, s := range f.States {
-		if !plain(s.Name) {
-			return misplaced(data, statePath(i), "state name %q isn't lower-case letters, digits and _", s.Name)
+		if !isValidName(s.Name) {
+			return errorAt(data, statePath(i), "state name %q isn't lower-case letters, digits and _", s.Name)
 		}
 		if f.index(s.Name) < i {
-			return misplaced(data, statePath(i), "state %q is a duplicate", s.Name)
+			return errorAt(data, statePath(i), "state %q is a duplicate", s.Name)
 		}
 		for _, event := range slices.Sorted(maps.Keys(s.On)) {
-			if !plain(event) {
-				return misplaced(data, statePath(i)+".on", "event name %q isn't lower-case letters, digits and _", event)
+			if !isValidName(event) {
+				return errorAt(data, statePath(i)+".on", "event name %q isn't lower-case letters, digits and _", event)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	for i, s := range f.States {
 		for _, event := range slices.Sorted(maps.Keys(s.On)) {
 			if f.index(s.On[event]) < 0 {
-				return misplaced(data, statePath(i)+".on."+event, "target %q is unknown", s.On[event])
+				return errorAt(data, statePath(i)+".on."+event, "target %q is unknown", s.On[event])
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 		}
 	}
 	if i := slices.Index(reached, false); i >= 0 {
-		return misplaced(data, statePath(i), "state %q can't be reached", f.States[i].Name)
+		return errorAt(data, statePath(i), "state %q can't be reached", f.States[i].Name)
 	}
 	return nil
 }
@@ -129,7 +129,8 @@
 	return fmt.Sprintf("$.states[%d]", i)
 }
 
-func plain(name string) bool {
+// isValidName reports whether name consists of lower-case letters, digits and _.
+func isValidName(name string) bool {
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '_' {
 			return false
@@ -138,17 +139,17 @@
 	return name != ""
 }
 
-// misplaced returns an error with the line and column of a YAML path.
-func misplaced(data []byte, path, format string, args ...any) error {
+// errorAt returns an error with the line and column of a YAML path.
+func errorAt(data []byte, path, format string, args ...any) error {
 	message := fmt.Sprintf(format, args...)
-	line, column := place(data, path)
+	line, column := positionOf(data, path)
 	if line == 0 {
 		return fault.New(fault.Invalid, "chart: %s", message)
 	}
 	return fault.New(fault.Invalid, "chart: line %d, column %d: %s", line, column, message)
 }
 
-func place(data []byte, path string) (line, column int) {
+func positionOf(data []byte, path string) (line, column int) {
 	p, err := yaml.PathString(path)
 	if err != nil {
 		return 0, 0
--- a/manifest/amount.go
+++ b/manifest/amount.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bounds of amounts, small enough that sums over a whole manifest can't
+// Bounds of amounts. They are small enough that sums over a whole manifest can't
 // overflow.
 const (
 	maxProcessors   = 1_000_000_000 // thousandths of a core
@@ -14,7 +14,7 @@
 	maxAccelerators = 1_000_000
 )
 
-// unit is a suffix and the base units that one of it stands for.
+// unit is a unit suffix and its size in base units.
 type unit struct {
 	suffix string
 	size   int64
@@ -57,7 +57,7 @@
 	return 0, fmt.Errorf("%s %q, want %s", name, text, want)
 }
 
-// formatAmount writes n in the largest unit that holds it exactly.
+// formatAmount formats n in the largest unit that represents it exactly.
 func formatAmount(n int64, units []unit) string {
 	best := units[0]
 	for _, u := range units {
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -5,23 +5,23 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// check reports what is wrong between the parts of a manifest. Sizes are
-// compared only when everything else is right: a share that wasn't understood
+// check reports inconsistencies between the parts of a manifest. Sizes are
+// compared only if everything else is valid: a share that couldn't be parsed
 // would make every job of its group look too big.
-func (p *parse) check(root document.Node) {
+func (p *parser) check(root document.Node) {
 	p.checkNames()
 	p.checkShares()
 	if !root.Sound() {
 		return
 	}
-	p.checkWhole()
+	p.checkPortions()
 	p.checkServices()
 	if root.Sound() {
 		p.checkJobs(root)
 	}
 }
 
-func (p *parse) checkNames() {
+func (p *parser) checkNames() {
 	m := p.manifest
 	for _, at := range p.groups {
 		for _, portion := range at.portions {
@@ -41,35 +41,35 @@
 	}
 }
 
-func (p *parse) checkGroup(name string, at document.Node) {
+func (p *parser) checkGroup(name string, at document.Node) {
 	if name != "" && p.manifest.group(name) == nil {
 		at.Report("unknown group %q", name)
 	}
 }
 
-// checkShares reports the group whose share takes the sum in a zone above the
-// whole.
-func (p *parse) checkShares() {
+// checkShares reports the first group whose share takes the sum in a zone above
+// 100%.
+func (p *parser) checkShares() {
 	for _, z := range p.manifest.AvailabilityZones {
 		var sum Portion
 		for i, g := range p.manifest.Groups {
 			before := sum
 			sum = sum.add(g.Share.In(z.Name))
-			name, total := sum.above(whole)
+			name, total := sum.exceeds(hundredPercent)
 			if name == "" {
 				continue
 			}
-			if already, _ := before.above(whole); already != "" {
+			if already, _ := before.exceeds(hundredPercent); already != "" {
 				continue
 			}
-			p.groups[i].at(z.Name).Report("shares of %s in zone %q sum to %s, limit 100%%", name, z.Name, total)
+			p.groups[i].nodeOfPortion(z.Name).Report("shares of %s in zone %q sum to %s, limit 100%%", name, z.Name, total)
 		}
 	}
 }
 
-// checkWhole reports a group whose portions of the zones add up to more than
+// checkPortions reports a group whose portions of the zones add up to more than
 // its share of all zones together.
-func (p *parse) checkWhole() {
+func (p *parser) checkPortions() {
 	m := p.manifest
 	for i, g := range m.Groups {
 		if len(g.Share.Zones) == 0 {
@@ -86,9 +86,9 @@
 	}
 }
 
-// checkServices reports the service that takes its group's services above the
-// group's share in a zone.
-func (p *parse) checkServices() {
+// checkServices reports the first service that takes the need of its group's
+// services above the group's share in a zone.
+func (p *parser) checkServices() {
 	m := p.manifest
 	for _, z := range m.AvailabilityZones {
 		used := map[string]resource.Vector{}
@@ -103,16 +103,16 @@
 	}
 }
 
-// checkJobs reports jobs that no zone can hold beside the group's services.
-// Such a job would wait in the queue for ever, so it is refused here, where
-// its operator sees it.
-func (p *parse) checkJobs(root document.Node) {
+// checkJobs reports jobs that fit in no zone in addition to the group's
+// services. Such a job would wait in the queue forever, so it is refused here,
+// where its operator sees the error.
+func (p *parser) checkJobs(root document.Node) {
 	m := p.manifest
 	limits := m.allLimits()
 	tasks := 0
 	for i, j := range m.Jobs {
 		tasks += j.Tasks
-		if reason := m.misfit(j, limits); reason != "" {
+		if reason := m.reasonNotRunnable(j, limits); reason != "" {
 			p.jobs[i].need.Report("%s", reason)
 		}
 	}
@@ -125,8 +125,9 @@
 	return Portion{p.Processors + o.Processors, p.Memory + o.Memory, p.Accelerators + o.Accelerators}
 }
 
-// above names the first resource of which p is more than limit.
-func (p Portion) above(limit Percent) (string, Percent) {
+// exceeds returns the name and percentage of the first resource of which p
+// exceeds limit.
+func (p Portion) exceeds(limit Percent) (string, Percent) {
 	switch {
 	case p.Processors > limit:
 		return "processors", p.Processors
--- a/manifest/encode.go
+++ b/manifest/encode.go
@@ -10,8 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// published names the canonical form in problems.
-const published = "published"
+// publishedName is the file name of the canonical form in error messages.
+const publishedName = "published"
 
 type text struct {
 	Zones    []zoneText    `yaml:"zones"`
@@ -67,12 +67,12 @@
 	Zone     string      `yaml:"zone,omitempty"`
 }
 
-// Encode returns the canonical form of m, which is published: YAML without
-// comments in which every job names its zone.
+// Encode returns the canonical form of m for publication: YAML without comments
+// in which every job names its zone.
 //
-// A text that the YAML library writes in a way it doesn't read back alike
-// would put another command in force than the operator gave. Encode reads its
-// own result and refuses to return one that differs.
+// Encode decodes its own result and fails if it differs. Otherwise a string that
+// the YAML library doesn't round-trip could put a different command in force
+// than the operator declared.
 func (m *Manifest) Encode() ([]byte, error) {
 	t := m.text()
 	data, err := yaml.Marshal(t)
@@ -92,9 +92,9 @@
 	return data, nil
 }
 
-// Decode returns the manifest that Encode wrote.
+// Decode returns the manifest in the output of Encode.
 func Decode(data []byte) (*Manifest, error) {
-	return Parse(published, data)
+	return Parse(publishedName, data)
 }
 
 func (m *Manifest) text() text {
@@ -110,12 +110,12 @@
 		t.Services = append(t.Services, encodeService(s))
 	}
 	for _, j := range m.Jobs {
-		t.Jobs = append(t.Jobs, encodeJob(j, m.zoneOf(j, limits)))
+		t.Jobs = append(t.Jobs, encodeJob(j, m.zoneOfJob(j, limits)))
 	}
 	return t
 }
 
-// encodeGroup writes the portions in the order of the zones.
+// encodeGroup encodes a group with its portions in the order of the zones.
 func (m *Manifest) encodeGroup(g Group) groupText {
 	t := groupText{Name: g.Name, Share: encodePortion(g.Share.Portion)}
 	for _, z := range m.AvailabilityZones {
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -1,4 +1,4 @@
-// Package manifest reads the operators' declarative file, which holds the
+// Package manifest parses the operators' declarative file, which contains the
 // whole desired state: availability zones, groups with their shares, the
 // services that run in every zone, and the batch jobs.
 //
@@ -9,13 +9,13 @@
 //		fmt.Fprintln(os.Stderr, err) // one line for each problem: file:line:column: reason
 //		return err
 //	}
-//	if err := m.Follow(inForce); err != nil { // jobs keep the zone they have
+//	if err := m.Follow(inForce); err != nil { // jobs keep their zones
 //		return err
 //	}
 //	published, err := m.Encode()
 //
-// A manifest is accepted whole or refused whole. What Limits and Tasks return
-// depends on the manifest alone, so every instance computes the same.
+// A manifest is accepted or refused as a whole. The results of Limits and Tasks
+// depend only on the manifest, so every instance computes the same.
 package manifest
 
 import (
@@ -26,8 +26,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// Problems is the error of a refused manifest: every problem found, sorted
-// by place.
+// Problems is the error of a refused manifest: all problems found, sorted by
+// position.
 type Problems = document.Problems
 
 // Manifest is the whole desired state.
@@ -37,31 +37,31 @@
 	Services          []Service
 	Jobs              []Job
 
-	places map[jobKey]document.Place // where Parse found each job
+	places map[jobKey]document.Place // position of each job in the file
 }
 
-// AvailabilityZone is a zone and what its workers hold together.
+// AvailabilityZone is a zone with the total capacity of its workers.
 type AvailabilityZone struct {
 	Name     string
 	Region   string
 	Capacity resource.Vector
 }
 
-// Group is a team with a share of the whole.
+// Group is a team with its share of the resources.
 type Group struct {
 	Name  string
 	Share Share
 }
 
-// Share is what a group may hold, of each resource. A zone listed in Zones
-// has its own portion in place of the share; over all zones the group still
-// holds no more than its share of the whole.
+// Share is the part of each resource that a group may use. A portion in Zones
+// replaces the share in that zone; over all zones the group still uses no more
+// than its share of the total.
 type Share struct {
 	Portion
 	Zones map[string]Portion
 }
 
-// In returns the portion of the zone that the group may hold.
+// In returns the portion of the zone that the group may use.
 func (s Share) In(zone string) Portion {
 	if p, ok := s.Zones[zone]; ok {
 		return p
@@ -76,7 +76,7 @@
 	Accelerators Percent
 }
 
-// Of returns the portion of whole, rounded down.
+// Of returns this portion of whole, rounded down.
 func (p Portion) Of(whole resource.Vector) resource.Vector {
 	return resource.Vector{
 		Processors:   p.Processors.of(whole.Processors),
@@ -93,8 +93,8 @@
 	Need       resource.Vector // of one replica
 	Slots      int             // concurrent requests of one replica
 	Timeout    time.Duration   // default deadline of a request
-	Idempotent bool            // every request may be repeated
-	Queue      int             // bound on requests that wait at one instance
+	Idempotent bool            // requests may be repeated
+	Queue      int             // maximum requests queued at one instance
 	Command    string          // opaque to the scheduler
 }
 
@@ -105,12 +105,12 @@
 	Need             resource.Vector // of one task
 	Tasks            int
 	Command          string        // opaque to the scheduler
-	Duration         time.Duration // expected run time of one task; zero when not known
+	Duration         time.Duration // expected run time of one task; zero if unknown
 	Urgent           bool
 	AvailabilityZone string // empty: chosen by hash
 }
 
-// jobKey tells jobs apart: two groups may use the same name.
+// jobKey identifies a job: two groups may use the same name.
 type jobKey struct {
 	group string
 	name  string
@@ -121,18 +121,18 @@
 }
 
 func (m *Manifest) zone(name string) *AvailabilityZone {
-	return find(m.AvailabilityZones, func(z AvailabilityZone) bool { return z.Name == name })
+	return findFirst(m.AvailabilityZones, func(z AvailabilityZone) bool { return z.Name == name })
 }
 
 func (m *Manifest) group(name string) *Group {
-	return find(m.Groups, func(g Group) bool { return g.Name == name })
+	return findFirst(m.Groups, func(g Group) bool { return g.Name == name })
 }
 
 func (m *Manifest) service(name string) *Service {
-	return find(m.Services, func(s Service) bool { return s.Name == name })
+	return findFirst(m.Services, func(s Service) bool { return s.Name == name })
 }
 
-func find[T any](list []T, match func(T) bool) *T {
+func findFirst[T any](list []T, match func(T) bool) *T {
 	i := slices.IndexFunc(list, match)
 	if i < 0 {
 		return nil
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -15,8 +15,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// TestParseBad has one case for each pair of files in testdata/bad: a
-// manifest and the problems it must be refused with.
+// TestParseBad has one case for each pair of files in testdata/bad: a manifest
+// and the expected problems.
 func TestParseBad(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.yaml")
 	is.New(t).NoErr(err)
@@ -36,10 +36,9 @@
 	}
 }
 
-// Symptom: a file ends a daemon or fills its memory.
-// Sequence: a file above the size bound is read; one below it grows above the
-// bound when it is written out in full.
-// Cause: the bound is on the text, which short forms and aliases keep small.
+// A file above the size bound, or one that exceeds it only in canonical form,
+// must be refused. If only the input were bounded, which short forms and aliases
+// keep small, a file could exhaust the memory of a daemon.
 func TestSizeBounds(t *testing.T) {
 	is := is.New(t)
 	head := "zones: [{name: a, capacity: &v {processors: 1, memory: 1GiB}}]\ngroups: [{name: g, share: 100%}]\njobs:\n"
@@ -68,8 +67,8 @@
 	is.Equal(m.Limits("unknown"), nil)
 }
 
-// Every task is in exactly one zone, one that can hold it, and the published
-// form puts it in the same one.
+// Every task must be in exactly one zone, which can hold it, and in the same
+// zone after encoding and decoding.
 func TestTasksHaveOneZone(t *testing.T) {
 	is := is.New(t)
 	m := site(t)
@@ -94,11 +93,10 @@
 	})
 }
 
-// Symptom: a task runs in two zones at once and has two results.
-// Sequence: a job without a zone is published; a zone is added, or the job's
-// own zone loses accelerators, so that the hash now picks another zone; each
-// zone's stream knows only its own tasks.
-// Cause: the zone was computed anew from each revision.
+// A job without a zone is published, and then a zone is added or the job's zone
+// loses accelerators, so that the hash picks another zone. If the zone were
+// recomputed for each revision, the task would run in two zones at once with two
+// results, because each zone's stream knows only its own tasks.
 func TestFollowKeepsZones(t *testing.T) {
 	is := is.New(t)
 	previous := site(t)
@@ -119,11 +117,11 @@
 	next.Jobs[1].AvailabilityZone = "mbagala"
 	is.Equal(next.Follow(previous).Error(),
 		`site.yaml:37:11: job "audit" is in zone "`+previous.jobZones()[next.Jobs[1].key()]+`" already; give it a new name to run it in zone "mbagala"`)
-	is.NoErr(site(t).Follow(nil)) // the first manifest has none to follow
+	is.NoErr(site(t).Follow(nil)) // the first manifest has no predecessor
 }
 
-// FuzzParse: no input ends the process, and what is accepted is published and
-// read back unchanged.
+// FuzzParse checks that no input makes Parse panic, and that every accepted
+// manifest can be encoded and decodes to the same content.
 func FuzzParse(f *testing.F) {
 	bad, err := filepath.Glob("testdata/bad/*.yaml")
 	is.New(f).NoErr(err)
--- a/manifest/parse.go
+++ b/manifest/parse.go
@@ -18,18 +18,18 @@
 	MaxTasks    = 100_000 // of all jobs
 )
 
-// Parse returns the manifest in data. The error is Problems and names file
-// in every line.
+// Parse returns the manifest in data. The error is of type Problems, with file
+// in each line.
 func Parse(file string, data []byte) (*Manifest, error) {
-	p := &parse{manifest: &Manifest{places: map[jobKey]document.Place{}}}
+	p := &parser{manifest: &Manifest{places: map[jobKey]document.Place{}}}
 	if err := document.Read(file, data, p.root); err != nil {
 		return nil, err
 	}
 	return p.manifest, nil
 }
 
-// parse collects a manifest and where its parts stand.
-type parse struct {
+// parser collects a manifest and the nodes of its parts for error messages.
+type parser struct {
 	manifest *Manifest
 	groups   []groupNodes
 	services []serviceNodes
@@ -54,7 +54,7 @@
 	name, group, need, zone document.Node
 }
 
-func (p *parse) root(n document.Node) {
+func (p *parser) root(n document.Node) {
 	n.Map(
 		document.Required("zones", p.zones),
 		document.Required("groups", func(n document.Node) { n.List(MaxGroups, p.group) }),
@@ -64,8 +64,8 @@
 	p.check(n)
 }
 
-// at returns where the group's portion of the zone is set.
-func (g groupNodes) at(zone string) document.Node {
+// nodeOfPortion returns the node that sets the group's portion of a zone.
+func (g groupNodes) nodeOfPortion(zone string) document.Node {
 	for _, p := range g.portions {
 		if p.zone == zone {
 			return p.key
@@ -74,14 +74,14 @@
 	return g.share
 }
 
-func (p *parse) zones(n document.Node) {
+func (p *parser) zones(n document.Node) {
 	n.List(MaxZones, p.zone)
 	if n.Sound() && len(p.manifest.AvailabilityZones) == 0 {
 		n.Report("want at least one zone")
 	}
 }
 
-func (p *parse) zone(n document.Node) {
+func (p *parser) zone(n document.Node) {
 	var z AvailabilityZone
 	name := n
 	n.Map(
@@ -95,7 +95,7 @@
 	p.manifest.AvailabilityZones = append(p.manifest.AvailabilityZones, z)
 }
 
-func (p *parse) group(n document.Node) {
+func (p *parser) group(n document.Node) {
 	var g Group
 	at := groupNodes{share: n}
 	name := n
@@ -119,7 +119,7 @@
 	p.groups = append(p.groups, at)
 }
 
-func (p *parse) service(n document.Node) {
+func (p *parser) service(n document.Node) {
 	s := Service{Slots: 1}
 	var at serviceNodes
 	name := n
@@ -141,7 +141,7 @@
 	p.services = append(p.services, at)
 }
 
-func (p *parse) job(n document.Node) {
+func (p *parser) job(n document.Node) {
 	j := Job{Tasks: 1}
 	at := jobNodes{name: n}
 	n.Map(
@@ -162,7 +162,7 @@
 	p.jobs = append(p.jobs, at)
 }
 
-// amounts reads what a zone holds or what a task needs.
+// amounts parses the capacity of a zone or the need of a task.
 func amounts(target *resource.Vector) func(document.Node) {
 	return func(n document.Node) {
 		n.Map(
@@ -173,7 +173,7 @@
 	}
 }
 
-// portion reads one percentage for every resource, or one for each.
+// portion parses one percentage for all resources, or one for each resource.
 func portion(target *Portion) func(document.Node) {
 	return func(n document.Node) {
 		if !n.IsMap() {
--- a/manifest/percent.go
+++ b/manifest/percent.go
@@ -11,8 +11,8 @@
 type Percent int64
 
 const (
-	onePercent Percent = 100
-	whole      Percent = 100 * onePercent
+	onePercent     Percent = 100
+	hundredPercent Percent = 100 * onePercent
 )
 
 // String returns p as it is written in a manifest.
@@ -25,7 +25,7 @@
 }
 
 func (p Percent) of(amount int64) int64 {
-	return amount * int64(p) / int64(whole)
+	return amount * int64(p) / int64(hundredPercent)
 }
 
 // parsePercent parses 0% to 100% with at most two decimals.
@@ -36,7 +36,7 @@
 		return 0, fmt.Errorf("share %q, want a percentage such as 40%% or 12.5%%", text)
 	}
 	p, err := strconv.ParseInt(units+(decimals + "00")[:2], 10, 64)
-	if err != nil || Percent(p) > whole {
+	if err != nil || Percent(p) > hundredPercent {
 		return 0, fmt.Errorf("share %s, want 0%% to 100%%", text)
 	}
 	return Percent(p), nil
--- a/manifest/place.go
+++ b/manifest/place.go
@@ -10,12 +10,12 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// limitsByZone is what batch tasks may hold, by zone and group.
+// limitsByZone holds the resources that batch tasks may use, by zone and group.
 type limitsByZone map[string]map[string]resource.Vector
 
-// Limits returns what the batch tasks of each group may hold in the zone: the
-// group's share of the zone less its services there. It returns nil for a
-// zone that isn't declared.
+// Limits returns the resources that the batch tasks of each group may use in the
+// zone: the group's share of the zone minus its services there. It returns nil
+// for an undeclared zone.
 func (m *Manifest) Limits(zone string) map[string]resource.Vector {
 	z := m.zone(zone)
 	if z == nil {
@@ -37,7 +37,7 @@
 	limits := m.allLimits()
 	var tasks []record.Task
 	for _, j := range m.Jobs {
-		if m.zoneOf(j, limits) != zone {
+		if m.zoneOfJob(j, limits) != zone {
 			continue
 		}
 		for i := range j.Tasks {
@@ -56,27 +56,27 @@
 	return tasks
 }
 
-// ID returns the job's ID, which its tasks carry.
+// ID returns the job's ID, which is part of the IDs of its tasks.
 func (j Job) ID() string {
 	return "job/" + j.Group + "/" + j.Name
 }
 
-// Follow settles the zone of every job, given the manifest that m replaces:
-// nil when it is the first. A job that previous holds stays in its zone. The
-// error is Problems, for jobs that can't stay.
+// Follow sets the zone of every job. previous is the manifest that m replaces,
+// or nil if m is the first. A job that previous contains stays in its zone. The
+// error is of type Problems and lists the jobs that can't stay.
 //
-// Each zone has its own stream, which knows nothing of another zone's tasks.
-// A job that changed zones, because a zone was added or a share was changed,
-// would be queued in the new zone while it still runs in the old one; the
-// operator would see two results. So a job keeps its zone for as long as it
-// is declared, and moving it takes a new name.
+// Each zone has its own stream, which doesn't know the tasks of other zones. A
+// job that changed zones, because a zone was added or a share was changed, would
+// be queued in the new zone while it still runs in the old one, and would have
+// two results. So a job keeps its zone while it is declared, and needs a new name
+// to move.
 func (m *Manifest) Follow(previous *Manifest) error {
 	var problems Problems
 	zones := previous.jobZones()
 	limits := m.allLimits()
 	for i := range m.Jobs {
 		j := &m.Jobs[i]
-		if reason := m.settle(j, zones[j.key()], limits); reason != "" {
+		if reason := m.setZone(j, zones[j.key()], limits); reason != "" {
 			problems = append(problems, document.Problem{Place: m.places[j.key()], Reason: reason})
 		}
 	}
@@ -87,11 +87,11 @@
 	return problems
 }
 
-// settle gives j its zone, and returns the reason when it can't have it.
-func (m *Manifest) settle(j *Job, before string, limits limitsByZone) string {
+// setZone sets the zone of j, and returns the reason if j can't run there.
+func (m *Manifest) setZone(j *Job, before string, limits limitsByZone) string {
 	switch {
 	case before == "":
-		j.AvailabilityZone = m.zoneOf(*j, limits)
+		j.AvailabilityZone = m.zoneOfJob(*j, limits)
 	case m.zone(before) == nil:
 		return fmt.Sprintf("job %q is in zone %q, which is no longer declared; give it a new name to run it elsewhere", j.Name, before)
 	case j.AvailabilityZone != "" && j.AvailabilityZone != before:
@@ -99,7 +99,7 @@
 	default:
 		j.AvailabilityZone = before
 	}
-	return m.misfit(*j, limits)
+	return m.reasonNotRunnable(*j, limits)
 }
 
 // jobZones returns the zone of every job.
@@ -110,14 +110,14 @@
 	limits := m.allLimits()
 	zones := make(map[jobKey]string, len(m.Jobs))
 	for _, j := range m.Jobs {
-		zones[j.key()] = m.zoneOf(j, limits)
+		zones[j.key()] = m.zoneOfJob(j, limits)
 	}
 	return zones
 }
 
-// zoneOf returns the zone that j names, or by rendezvous hash one of those
-// that can hold a task of it.
-func (m *Manifest) zoneOf(j Job, limits limitsByZone) string {
+// zoneOfJob returns the zone that j names. If it names none, it selects by
+// rendezvous hashing one of the zones that can hold a task of j.
+func (m *Manifest) zoneOfJob(j Job, limits limitsByZone) string {
 	if j.AvailabilityZone != "" {
 		return j.AvailabilityZone
 	}
@@ -135,9 +135,9 @@
 	return best
 }
 
-// misfit returns why j can never run, and nothing when it can.
-func (m *Manifest) misfit(j Job, limits limitsByZone) string {
-	zone := m.zoneOf(j, limits)
+// reasonNotRunnable returns the reason why j can never run, or "" if it can.
+func (m *Manifest) reasonNotRunnable(j Job, limits limitsByZone) string {
+	zone := m.zoneOfJob(j, limits)
 	if zone == "" {
 		return fmt.Sprintf("job %q needs %s, more than group %q may hold in any zone beside its services", j.Name, j.Need, j.Group)
 	}
