--- a/appender/appender.go
+++ b/appender/appender.go
@@ -54,10 +54,10 @@
 type state int
 
 const (
-	idle     state = iota // no batch is in flight
-	inFlight              // an append call is running
-	appended              // the call succeeded; the batch isn't read back yet
-	unsure                // the call failed but may have taken effect
+	idle       state = iota // no batch is in flight
+	inFlight                // an append call is running
+	appended                // the call succeeded; the batch isn't read back yet
+	callFailed              // the call failed but may have taken effect
 )
 
 type item struct {
@@ -174,7 +174,7 @@
 		return
 	}
 	if err != nil {
-		a.state = unsure
+		a.state = callFailed
 		a.retries++
 		return
 	}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -40,7 +40,7 @@
 	create         func() *zone.State
 	state          *zone.State
 	next           uint64
-	held           []provider.Entry  // entries read before the tail was reached, for replay
+	replayEntries  []provider.Entry  // entries read before the tail was reached, for replay
 	stateBeforeGap *zone.State       // the state before a gap
 	recovery       *recoverySnapshot // a recovery snapshot that may be overruled
 	tailReadAt     time.Time         // when the newest read that reached the tail was sent
@@ -141,7 +141,7 @@
 			f.stateBeforeGap = f.state
 		}
 		f.state = nil
-		f.held = nil
+		f.replayEntries = nil
 		f.caughtUp = false
 		f.fromSnapshot = true
 		f.next = page.Oldest
@@ -165,7 +165,7 @@
 		return true
 	}
 	if !f.caughtUp && f.fromSnapshot {
-		f.held = append(f.held, e)
+		f.replayEntries = append(f.replayEntries, e)
 	}
 	f.trackRecovery(e, r, applied)
 	if f.isUsable(r.Snapshot) && f.restore(r.Snapshot, applied) {
@@ -232,13 +232,13 @@
 // isUsable reports whether a starting reader takes its state from a regular
 // snapshot. It does so until the tail is reached, so that the newest one wins.
 func (f *Follower) isUsable(s *record.Snapshot) bool {
-	if s == nil || s.Recovery || !f.fromSnapshot || f.caughtUp || len(f.held) == 0 {
+	if s == nil || s.Recovery || !f.fromSnapshot || f.caughtUp || len(f.replayEntries) == 0 {
 		return false
 	}
-	return s.At+1 >= f.held[0].Offset
+	return s.At+1 >= f.replayEntries[0].Offset
 }
 
-// restore starts the state from a snapshot, replays the held entries that
+// restore starts the state from a snapshot, replays the collected entries that
 // follow it, and reports whether the snapshot could be decoded.
 func (f *Follower) restore(s *record.Snapshot, applied *[]Applied) bool {
 	state, err := zone.Restore(s.State)
@@ -248,7 +248,7 @@
 	}
 	f.state = state
 	*applied = (*applied)[:0]
-	f.replay(f.held, s.At, applied)
+	f.replay(f.replayEntries, s.At, applied)
 	return true
 }
 
@@ -270,7 +270,7 @@
 func (f *Follower) handleTail(sentAt time.Time) {
 	if f.state != nil {
 		f.caughtUp = true
-		f.held = nil
+		f.replayEntries = nil
 		f.stateBeforeGap = nil
 	}
 	f.noState = f.state == nil
--- a/manifest/encode.go
+++ b/manifest/encode.go
@@ -13,7 +13,7 @@
 // publishedName is the file name of the canonical form in error messages.
 const publishedName = "published"
 
-type text struct {
+type manifestText struct {
 	Zones    []zoneText    `yaml:"zones"`
 	Groups   []groupText   `yaml:"groups"`
 	Services []serviceText `yaml:"services,omitempty"`
@@ -97,9 +97,9 @@
 	return Parse(publishedName, data)
 }
 
-func (m *Manifest) text() text {
+func (m *Manifest) text() manifestText {
 	limits := m.allLimits()
-	var t text
+	var t manifestText
 	for _, z := range m.AvailabilityZones {
 		t.Zones = append(t.Zones, zoneText{z.Name, z.Region, encodeAmounts(z.Capacity)})
 	}
--- a/manifest/place.go
+++ b/manifest/place.go
@@ -88,16 +88,16 @@
 }
 
 // setZone sets the zone of j, and returns the reason if j can't run there.
-func (m *Manifest) setZone(j *Job, before string, limits limitsByZone) string {
+func (m *Manifest) setZone(j *Job, previousZone string, limits limitsByZone) string {
 	switch {
-	case before == "":
+	case previousZone == "":
 		j.AvailabilityZone = m.zoneOfJob(*j, limits)
-	case m.zone(before) == nil:
-		return fmt.Sprintf("job %q is in zone %q, which is no longer declared; give it a new name to run it elsewhere", j.Name, before)
-	case j.AvailabilityZone != "" && j.AvailabilityZone != before:
-		return fmt.Sprintf("job %q is in zone %q already; give it a new name to run it in zone %q", j.Name, before, j.AvailabilityZone)
+	case m.zone(previousZone) == nil:
+		return fmt.Sprintf("job %q is in zone %q, which is no longer declared; give it a new name to run it elsewhere", j.Name, previousZone)
+	case j.AvailabilityZone != "" && j.AvailabilityZone != previousZone:
+		return fmt.Sprintf("job %q is in zone %q already; give it a new name to run it in zone %q", j.Name, previousZone, j.AvailabilityZone)
 	default:
-		j.AvailabilityZone = before
+		j.AvailabilityZone = previousZone
 	}
 	return m.reasonNotRunnable(*j, limits)
 }
--- a/member/tick.go
+++ b/member/tick.go
@@ -21,12 +21,12 @@
 // would be taken from healthy owners. So time without a tick counts as nobody's
 // silence.
 func (t *Table) compensatePause(now time.Time) {
-	before := t.lastTick
+	previousTick := t.lastTick
 	t.lastTick = now
-	if before.IsZero() {
+	if previousTick.IsZero() {
 		return
 	}
-	pause := now.Sub(before)
+	pause := now.Sub(previousTick)
 	if pause <= t.suspicion {
 		return
 	}
--- a/zone/attempt.go
+++ b/zone/attempt.go
@@ -163,12 +163,12 @@
 	if w.owner != nil {
 		w.owner.countCapacity(w.capacity, -1)
 	}
-	blamed := make([]*task, 0, len(w.failedTasks))
+	failedTasks := make([]*task, 0, len(w.failedTasks))
 	for t := range w.failedTasks {
-		blamed = append(blamed, t)
+		failedTasks = append(failedTasks, t)
 	}
-	slices.SortFunc(blamed, func(a, b *task) int { return cmp.Compare(a.serial, b.serial) })
-	for _, t := range blamed {
+	slices.SortFunc(failedTasks, func(a, b *task) int { return cmp.Compare(a.serial, b.serial) })
+	for _, t := range failedTasks {
 		s.removeFailure(w, t, o)
 	}
 	w.failedTasks = nil
--- a/zone/incarnation.go
+++ b/zone/incarnation.go
@@ -120,15 +120,15 @@
 	}
 	r := &incarnation{writer: w, workers: map[string]*worker{}, lastRecordAt: s.now}
 	i.incarnations = append(i.incarnations, r)
-	for _, before := range slices.Clone(i.incarnations) {
-		if before == r {
+	for _, earlier := range slices.Clone(i.incarnations) {
+		if earlier == r {
 			continue
 		}
-		if !before.fenced {
-			before.fenced = true
-			before.fencedAt = offset
+		if !earlier.fenced {
+			earlier.fenced = true
+			earlier.fencedAt = offset
 		}
-		s.recoverEscrow(before, o)
+		s.recoverEscrow(earlier, o)
 	}
 	return r
 }
--- a/zone/retention.go
+++ b/zone/retention.go
@@ -58,12 +58,12 @@
 // a task, since its writer owns no worker and no task.
 func (s *State) sweep() {
 	s.sweepAt = s.now + sweepInterval.Microseconds()
-	before := s.retentionCutoff()
+	cutoff := s.retentionCutoff()
 	maps.DeleteFunc(s.workers, func(_ string, w *worker) bool {
-		return w.owner == nil && w.recordedAt <= before && len(w.failedTasks) == 0 && !w.isQuarantined()
+		return w.owner == nil && w.recordedAt <= cutoff && len(w.failedTasks) == 0 && !w.isQuarantined()
 	})
 	maps.DeleteFunc(s.instances, func(_ string, i *instance) bool {
 		r := i.newest()
-		return len(i.incarnations) == 1 && r.lastRecordAt <= before && r.escrow.length == 0 && len(r.workers) == 0
+		return len(i.incarnations) == 1 && r.lastRecordAt <= cutoff && r.escrow.length == 0 && len(r.workers) == 0
 	})
 }
--- a/zone/submit.go
+++ b/zone/submit.go
@@ -22,13 +22,13 @@
 // addOrReplace adds a task. If it replaces an ended one, its attempt number
 // continues from there.
 func (s *State) addOrReplace(r record.Task) *task {
-	before := s.tasks[r.ID]
-	if before == nil {
+	previous := s.tasks[r.ID]
+	if previous == nil {
 		return s.addTask(r)
 	}
-	s.forgetEnded(slices.Index(s.ended, before))
+	s.forgetEnded(slices.Index(s.ended, previous))
 	t := s.addTask(r)
-	t.attempt = before.attempt + 1
+	t.attempt = previous.attempt + 1
 	return t
 }
 
--- a/zone/worker.go
+++ b/zone/worker.go
@@ -107,9 +107,9 @@
 		return
 	}
 	s.workers[w.id] = w
-	before := w.owner
-	if before != nil {
-		before.removeWorker(w)
+	previousOwner := w.owner
+	if previousOwner != nil {
+		previousOwner.removeWorker(w)
 	}
 	w.epoch = body.Epoch
 	w.capacity = body.Capacity
@@ -119,8 +119,8 @@
 	for _, held := range body.Held {
 		s.adoptHeld(writer, w, held, o)
 	}
-	if before != nil {
-		s.recoverEscrow(before, o)
+	if previousOwner != nil {
+		s.recoverEscrow(previousOwner, o)
 	}
 }
 
@@ -171,9 +171,9 @@
 		o.void(OwnerNotFenced, "")
 		return
 	}
-	before := w.owner
-	before.removeWorker(w)
+	previousOwner := w.owner
+	previousOwner.removeWorker(w)
 	w.owner = nil
 	w.recordedAt = s.now
-	s.recoverEscrow(before, o)
+	s.recoverEscrow(previousOwner, o)
 }
