--- a/cell/advice_test.go
+++ b/cell/advice_test.go
@@ -25,7 +25,7 @@
 		})
 	}
 	s.owners[0].takeOver()
-	s.after(3300*time.Millisecond, func() { s.takeover(0, 1) })
+	s.after(3300*time.Millisecond, func() { s.replaceOwner(0, 1) })
 	s.run(settleTime)
 	s.mustComplete(6)
 	is.True(len(s.tickets) >= 4) // both workers were asked about again
--- a/cell/backlog_test.go
+++ b/cell/backlog_test.go
@@ -24,7 +24,7 @@
 	}
 	s.owners[0].takeOver()
 	s.run(time.Second)
-	s.takeover(0, 1)
+	s.replaceOwner(0, 1)
 	s.run(time.Second + span)
 	is.Equal(s.violations, nil)
 	is.True(len(s.completed) > 1000) // two tasks a worker, every 1.7 s
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -175,7 +175,7 @@
 func (s *site) alternateOwners(times int, every time.Duration) {
 	for i := range times {
 		s.after(time.Duration(i+1)*every, func() {
-			s.takeover(i%2, (i+1)%2)
+			s.replaceOwner(i%2, (i+1)%2)
 		})
 	}
 }
@@ -233,7 +233,7 @@
 	s.owners[0].takeOver()
 	for i, at := range []time.Duration{2500, 4100, 6000} {
 		s.after(at*time.Millisecond, func() {
-			s.takeover(i, (i+1)%3)
+			s.replaceOwner(i, (i+1)%3)
 		})
 	}
 	s.after(9*time.Second, func() { s.lostSaveRate = 0 })
@@ -263,7 +263,7 @@
 			s.cancel(jobID(i))
 		}
 	})
-	s.after(410*time.Millisecond, func() { s.takeover(0, 1) })
+	s.after(410*time.Millisecond, func() { s.replaceOwner(0, 1) })
 	s.run(settleTime)
 	is := is.New(t)
 	is.Equal(s.violations, nil)
@@ -299,7 +299,7 @@
 	s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{lasting}})
 	s.owners[0].takeOver()
 	s.after(6*time.Second, func() { s.workers[0].crash(2*time.Second, 1) })
-	s.after(9*time.Second, func() { s.takeover(0, 1) })
+	s.after(9*time.Second, func() { s.replaceOwner(0, 1) })
 	running := 0
 	s.after(19*time.Second, func() {
 		for _, w := range s.workers {
@@ -425,7 +425,7 @@
 	s.owners[0].takeOver()
 	s.run(2 * time.Second)
 	is.Equal(len(s.paces), 0)
-	s.takeover(0, 1)
+	s.replaceOwner(0, 1)
 	s.run(3 * time.Second)
 	is.Equal(len(s.paces), 4)
 	for _, percent := range s.paces {
--- a/cell/cordon_test.go
+++ b/cell/cordon_test.go
@@ -38,7 +38,7 @@
 			s.after(cordonedAt, func() { s.cordoned = []string{"z0"} })
 			s.after(openedAt, func() { s.cordoned = nil })
 			if tt.takeover > 0 {
-				s.after(tt.takeover, func() { s.takeover(0, 1) })
+				s.after(tt.takeover, func() { s.replaceOwner(0, 1) })
 			}
 			reopened := 0
 			for _, o := range s.owners {
@@ -58,7 +58,7 @@
 // Guards against a cordon that is lost, or kept for too long, through faults and
 // takeovers.
 func TestRandomSchedulesWithCordons(t *testing.T) {
-	forEachSeed(t, schedules/3, func(t *testing.T, seed uint64) {
+	forEachSeed(t, scheduleSeeds/3, func(t *testing.T, seed uint64) {
 		s := newSite(t, 3100+seed, scheduleHosts, 3)
 		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		for range 4 {
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -168,7 +168,7 @@
 		s.owners[0].takeOver()
 		for n := range 12 {
 			at := 1500*time.Millisecond + time.Duration(n)*1700*time.Millisecond + time.Duration(s.rng.Int64N(int64(500*time.Millisecond)))
-			s.after(at, func() { s.takeover(n%3, (n+1)%3) })
+			s.after(at, func() { s.replaceOwner(n%3, (n+1)%3) })
 		}
 		s.run(jobs*every + 3*settleTime)
 		s.checkOutcomes(jobs)
@@ -215,7 +215,7 @@
 
 // Guards against crashes that are miscounted in combination with other faults.
 func TestRandomSchedulesWithCrashes(t *testing.T) {
-	forEachSeed(t, schedules, func(t *testing.T, seed uint64) {
+	forEachSeed(t, scheduleSeeds, func(t *testing.T, seed uint64) {
 		is := is.New(t)
 		s := newSite(t, 800+seed, scheduleHosts, 3)
 		s.crashEveryNth(8, scheduleJobs)
@@ -238,7 +238,7 @@
 		s.submitEvery(jobs, every)
 		s.owners[0].takeOver()
 		for n := range 4 {
-			s.after(time.Duration(2+3*n)*time.Second, func() { s.takeover(n%2, (n+1)%2) })
+			s.after(time.Duration(2+3*n)*time.Second, func() { s.replaceOwner(n%2, (n+1)%2) })
 		}
 		s.run(jobs*every + 4*settleTime)
 		s.checkOutcomes(jobs)
@@ -257,7 +257,7 @@
 		for n := range 14 {
 			at := time.Duration(n+1) * 1300 * time.Millisecond
 			s.after(at, func() { s.takeDown(s.workers[n%12], n%2 == 0) })
-			s.after(at+time.Duration(s.rng.Int64N(int64(300*time.Millisecond))), func() { s.takeover(n%3, (n+1)%3) })
+			s.after(at+time.Duration(s.rng.Int64N(int64(300*time.Millisecond))), func() { s.replaceOwner(n%3, (n+1)%3) })
 		}
 		s.run(jobs*every + 6*settleTime)
 		s.checkOutcomes(jobs)
@@ -274,7 +274,7 @@
 		s.owners[0].takeOver()
 		at := time.Second
 		for n := range 16 {
-			s.after(at, func() { s.takeover(n%3, (n+1)%3) })
+			s.after(at, func() { s.replaceOwner(n%3, (n+1)%3) })
 			at += 150*time.Millisecond + time.Duration(s.rng.Int64N(int64(900*time.Millisecond)))
 		}
 		s.run(jobs*every + 4*settleTime)
@@ -317,7 +317,7 @@
 		s.crashEveryNth(3, jobs)
 		s.submitEvery(jobs, every)
 		s.owners[0].takeOver()
-		s.after(3*time.Second, func() { s.takeover(0, 1) })
+		s.after(3*time.Second, func() { s.replaceOwner(0, 1) })
 		s.run(jobs*every + 4*settleTime)
 		s.checkOutcomes(jobs)
 	})
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// takeover kills one owner and lets another one take the cell.
-func (s *site) takeover(from, to int) {
+// replaceOwner kills one owner and lets another one take the cell.
+func (s *site) replaceOwner(from, to int) {
 	s.owners[from].kill()
 	s.owners[to].takeOver()
 }
--- a/cell/hostlist_test.go
+++ b/cell/hostlist_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"an instance owns the cell again", func(s *site) {
 			s.owners[0].takeOver()
-			s.after(time.Second, func() { s.takeover(0, 1) })
+			s.after(time.Second, func() { s.replaceOwner(0, 1) })
 			s.after(3*time.Second, func() { s.workers[0].announceLeave(10 * time.Second) })
 			s.after(6*time.Second, func() {
 				s.owners[1].kill()
@@ -125,7 +125,7 @@
 		s.owners[0].takeOver()
 		s.after(2*time.Second, func() { s.workers[0].corruptEntry(6 * time.Second) })
 		if takeover {
-			s.after(4*time.Second, func() { s.takeover(0, 1) })
+			s.after(4*time.Second, func() { s.replaceOwner(0, 1) })
 		}
 		endsAtLast := 0
 		s.after(12*time.Second, func() { endsAtLast = len(s.workers[0].highestEnded) })
@@ -145,7 +145,7 @@
 	s.addStrayEntry()
 	submitJobs(s, 8)
 	s.owners[0].takeOver()
-	s.after(2*time.Second, func() { s.takeover(0, 1) })
+	s.after(2*time.Second, func() { s.replaceOwner(0, 1) })
 	s.run(12 * time.Second)
 	s.mustComplete(8)
 	is.Equal(len(s.store.readCatalog(t).Hosts()), 3) // those that answered
--- a/cell/restart_test.go
+++ b/cell/restart_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// Guards against incompatibility with owners of a version that uses the term as the token
-// for all workers.
+// Guards against workers that refuse an owner of another version, which uses its term as
+// the token for all of them.
 func TestFirstTokenIsTheTerm(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1502, 2, 1)
@@ -253,7 +253,7 @@
 		s.owners[0].takeOver()
 		for n := range 24 {
 			at := 800*time.Millisecond + time.Duration(n)*600*time.Millisecond + time.Duration(s.rng.Int64N(int64(500*time.Millisecond)))
-			s.after(at, func() { s.takeover(n%3, (n+1)%3) })
+			s.after(at, func() { s.replaceOwner(n%3, (n+1)%3) })
 		}
 		s.run(jobs*every + 3*settleTime)
 		s.checkOutcomes(jobs)
@@ -287,7 +287,7 @@
 	}
 	s.run(s.now + 700*time.Millisecond)
 	for n := range 6 {
-		s.takeover((n+1)%2, n%2)
+		s.replaceOwner((n+1)%2, n%2)
 		s.run(s.now + 1050*time.Millisecond) // a start is on record, but isn't ordered yet
 	}
 	s.run(settleTime)
@@ -343,7 +343,7 @@
 // Guards against faults that restarts cause in combination with each other and with other
 // faults.
 func TestRandomSchedulesWithRestarts(t *testing.T) {
-	forEachSeed(t, 3*schedules, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 3*scheduleSeeds, func(t *testing.T, seed uint64) {
 		s := newSite(t, 2200+seed, scheduleHosts, 3)
 		s.acksCoverLaterEnds = seed%2 == 0
 		s.entryDelay = time.Duration(seed%3) * 400 * time.Millisecond
--- a/cell/schedule_test.go
+++ b/cell/schedule_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	schedules      = 60
+	scheduleSeeds  = 60
 	scheduleLength = 25 * time.Second
 	scheduleJobs   = 14
 	scheduleHosts  = 5
@@ -20,7 +20,7 @@
 // checks every start against the invariants. Once the faults are over, every job has to
 // end.
 func TestRandomSchedules(t *testing.T) {
-	forEachSeed(t, schedules, func(t *testing.T, seed uint64) {
+	forEachSeed(t, scheduleSeeds, func(t *testing.T, seed uint64) {
 		s := newSite(t, 100+seed, scheduleHosts, 3)
 		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		s.playSchedule()
@@ -32,11 +32,11 @@
 func (s *site) playSchedule() {
 	s.t.Helper()
 	is := is.New(s.t)
-	s.arrivals()
+	s.scheduleArrivals()
 	s.owners[0].takeOver()
 	for range 7 {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
-		s.after(at, s.fault)
+		s.after(at, s.injectFault)
 	}
 	s.after(scheduleLength, s.endFaults)
 	s.run(scheduleLength + 3*settleTime)
@@ -47,8 +47,8 @@
 	}
 }
 
-// arrivals submits jobs over the length of the schedule.
-func (s *site) arrivals() {
+// scheduleArrivals submits jobs over the length of the schedule.
+func (s *site) scheduleArrivals() {
 	for i := range scheduleJobs {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
 		j := &job.Job{ID: jobID(i), Steps: []job.Step{step(1+s.rng.IntN(4), 1+s.rng.Int64N(4)), step(1+s.rng.IntN(3), 2, 0)}}
@@ -61,22 +61,22 @@
 	}
 }
 
-// fault injects a random fault, which ends by itself.
-func (s *site) fault() {
+// injectFault injects a random injectFault, which ends by itself.
+func (s *site) injectFault() {
 	o := s.owners[s.rng.IntN(len(s.owners))]
 	w := s.workers[s.rng.IntN(len(s.workers))]
 	span := time.Second + time.Duration(s.rng.Int64N(int64(7*time.Second)))
 	switch s.rng.IntN(7) {
 	case 0:
 		o.kill()
-		s.after(time.Second, s.successor)
+		s.after(time.Second, s.takeOverByAny)
 	case 1:
 		o.freeze(span)
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverByAny)
 	case 2:
 		o.noStore = true
 		s.after(span, func() { o.noStore = false })
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverByAny)
 	case 3:
 		for i := range s.workers {
 			o.unreachable[i] = s.rng.IntN(2) == 0
@@ -95,8 +95,8 @@
 	}
 }
 
-// successor makes an instance that reaches the store take the cell.
-func (s *site) successor() {
+// takeOverByAny makes a random instance that reaches the store take the cell.
+func (s *site) takeOverByAny() {
 	for range 10 {
 		o := s.owners[s.rng.IntN(len(s.owners))]
 		if !o.noStore && !o.frozen {
--- a/cell/serving_test.go
+++ b/cell/serving_test.go
@@ -26,12 +26,12 @@
 	serving.Steps[0].Image = "quick"
 	serving.Steps[0].Target = 10 * time.Millisecond
 	var slowed *fakeWorker // the worker on which the filling task starts
-	began := time.Duration(0)
+	fillStartedAt := time.Duration(0)
 	s.tail = func(_ string, w *fakeWorker) time.Duration {
 		switch {
 		case w != slowed:
 			return 2 * time.Millisecond
-		case s.now < began+time.Second:
+		case s.now < fillStartedAt+time.Second:
 			return 9800 * time.Microsecond
 		}
 		return 7500 * time.Microsecond
@@ -46,7 +46,7 @@
 	watch = func() {
 		for _, w := range s.workers {
 			if slowed == nil && w.runs[jobID(2)+".0.0.0"] != nil {
-				slowed, began = w, s.now
+				slowed, fillStartedAt = w, s.now
 			}
 		}
 		s.after(50*time.Millisecond, watch)
@@ -89,17 +89,17 @@
 		filling.Steps[0].Image = fmt.Sprintf("rebuild-%d", i)
 		s.after(2*time.Second+time.Duration(i)*50*time.Millisecond, func() { s.submit(filling) })
 	}
-	began, longest := time.Duration(0), time.Duration(0)
+	lastPausedAt, longest := time.Duration(0), time.Duration(0)
 	var watch func()
 	watch = func() {
-		works := false
+		working := false
 		for name, r := range s.workers[0].runs {
-			works = works || !s.isLasting(name) && r.pace > 0
+			working = working || !s.isLasting(name) && r.pace > 0
 		}
-		if !works {
-			began = s.now
+		if !working {
+			lastPausedAt = s.now
 		}
-		longest = max(longest, s.now-began)
+		longest = max(longest, s.now-lastPausedAt)
 		s.after(20*time.Millisecond, watch)
 	}
 	s.after(2*time.Second, watch)
--- a/cell/shrink_test.go
+++ b/cell/shrink_test.go
@@ -27,10 +27,10 @@
 			s.after(4*time.Second, func() { s.owners[0].freeze(5 * time.Second) })
 		}},
 		{"an owner follows", func(s *site) {
-			s.after(5*time.Second, func() { s.takeover(0, 1) })
+			s.after(5*time.Second, func() { s.replaceOwner(0, 1) })
 			s.after(9*time.Second, func() {
 				s.owners[0].listDelay = 400 * time.Millisecond
-				s.takeover(1, 0)
+				s.replaceOwner(1, 0)
 			})
 		}},
 	}
--- a/cell/wave_test.go
+++ b/cell/wave_test.go
@@ -63,7 +63,7 @@
 			s.submit(lasting)
 			s.owners[0].takeOver()
 			if tt.takeover > 0 {
-				s.after(tt.takeover, func() { s.takeover(0, 1) })
+				s.after(tt.takeover, func() { s.replaceOwner(0, 1) })
 			}
 			var watch func()
 			watch = func() {
