--- a/cell/action.go
+++ b/cell/action.go
@@ -4,11 +4,11 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Action is what a cell asks to be done. Each but Note, Deposed and ReportWave is
-// answered by the input that is named after it.
+// Action is something that the caller of Step has to carry out. Its outcome comes back as
+// an input, for example HoldReply for Hold. Note, Deposed and ReportWave have no outcome.
 type Action interface{ action() }
 
-// Hold asks a worker what runs, and extends its lease.
+// Hold asks a worker for its runs, their progress and their ends, and renews its lease.
 type Hold struct {
 	Order provider.HoldOrder
 }
@@ -23,55 +23,54 @@
 	Order provider.RunOrder
 }
 
-// Pace changes the speed of a run.
+// Pace sets the speed of a run.
 type Pace struct {
 	Order provider.RunOrder
 }
 
-// Save writes records under the owner's term. A Save that is repeated has
-// the same sequence and records.
+// Save writes records under the owner's term. A retried Save has the same sequence and
+// records.
 type Save struct {
 	Term     uint64
 	Sequence uint64
 	Records  []provider.KeyedRecord
 }
 
-// Advise asks which workers may run a step.
+// Advise asks the adviser which of the given workers may run a step.
 type Advise struct {
 	Job         string
 	Round, Step int
 	Hosts       []string
 }
 
-// Upkeep takes a machine down for its upkeep.
+// Upkeep takes a machine down for maintenance.
 type Upkeep struct {
 	Order provider.MachineOrder
 }
 
-// ReportWave tells the operators how far a wave is. It has no answer.
+// ReportWave reports the state of a maintenance wave to the operators.
 type ReportWave struct {
 	Number    int
 	Completed bool
 }
 
-// Forget drops the records of jobs that ended long ago.
+// Forget deletes the records of jobs that ended long ago.
 type Forget struct {
 	IDs []string
 }
 
-// ListMachines asks the platform what became of its machines.
+// ListMachines asks the platform for the state of its machines.
 type ListMachines struct{}
 
-// Deposed says that another owner took the cell; the cell gives no more
-// orders.
+// Deposed reports that another owner took the cell. The cell emits no more actions.
 type Deposed struct {
 	Reason string
 }
 
-// Note is a decision for the log.
+// Note is a log line about a decision.
 type Note struct {
 	Event  string
-	Fields []any // names and values in turn
+	Fields []any // alternating keys and values
 }
 
 func (Hold) action()         {}
--- a/cell/advice.go
+++ b/cell/advice.go
@@ -4,28 +4,27 @@
 	"time"
 )
 
-// Bounds of asking the adviser. An answer takes time for each worker named,
-// and one question is answered at a time.
+// Bounds of requests to the adviser. It handles one request at a time, and takes longer
+// the more workers a request names.
 const (
-	askedAtOnce  = 30                     // workers named in a question
-	adviceMargin = 300 * time.Millisecond // before its end a ticket counts as ended
-	adviceRetry  = 200 * time.Millisecond // after a question without an answer
+	maxHostsPerRequest  = 30
+	ticketMargin        = 300 * time.Millisecond // a ticket is treated as expired this long before its end
+	adviceRetryInterval = 200 * time.Millisecond // after a request without an answer
 )
 
-// advice is what is known of the workers that may run a step.
+// advice holds the adviser's answers for a step.
 type advice struct {
-	asked   map[*worker]bool // incarnations of workers that were asked about, and whether they may
+	allowed map[*worker]bool // the adviser's last answer for each worker incarnation that was asked about
 	tickets map[*worker]ticket
 }
 
-// ticket allows a worker to run a step for a while.
+// ticket permits a worker to run a step until it expires.
 type ticket struct {
-	value string
-	until time.Duration
+	value     string
+	expiresAt time.Duration
 }
 
-// hasTicket reports whether a step may be started on a worker, as far as
-// advice goes.
+// hasTicket reports whether the worker has a ticket for the step, or the step needs none.
 func (c *Cell) hasTicket(s *stepState, w *worker) bool {
 	if s.job.terms.Advice == nil {
 		return true
@@ -33,12 +32,13 @@
 	return c.ticket(s, w) != ""
 }
 
+// ticket returns the valid ticket for the step on a worker, or an empty string.
 func (c *Cell) ticket(s *stepState, w *worker) string {
 	if s.advice == nil {
 		return ""
 	}
 	t := s.advice.tickets[w]
-	if c.now >= t.until {
+	if c.now >= t.expiresAt {
 		return ""
 	}
 	return t.value
@@ -50,77 +50,79 @@
 	}
 }
 
-// ask asks the adviser about workers for a step that waits for want of
-// tickets. Workers that may run it are asked about again when their tickets
-// have ended; those that may not never become allowed.
-func (c *Cell) ask(s *stepState) {
-	if s.job.terms.Advice == nil || c.adviceBusy || c.now < c.adviceAfter || len(s.ready) == 0 {
+// requestAdvice asks the adviser about workers for a step that has no candidate with a
+// ticket. Allowed workers are asked about again when their tickets have expired; a refused
+// worker stays refused.
+func (c *Cell) requestAdvice(s *stepState) {
+	if s.job.terms.Advice == nil || c.adviceInFlight || c.now < c.adviceRetryAt || len(s.ready) == 0 {
 		return
 	}
 	if s.advice == nil {
-		s.advice = &advice{asked: make(map[*worker]bool), tickets: make(map[*worker]ticket)}
+		s.advice = &advice{allowed: make(map[*worker]bool), tickets: make(map[*worker]ticket)}
 	}
-	hosts := c.toAsk(s)
+	hosts := c.hostsToAsk(s)
 	if len(hosts) == 0 {
 		return
 	}
-	c.adviceBusy = true
-	c.do(Advise{Job: s.job.job.ID, Round: s.round.number, Step: s.number, Hosts: hosts})
+	c.adviceInFlight = true
+	c.emit(Advise{Job: s.job.job.ID, Round: s.round.number, Step: s.number, Hosts: hosts})
 }
 
-// toAsk returns the workers to name: those with room that may run the step,
-// or weren't asked about.
-func (c *Cell) toAsk(s *stepState) []string {
+// hostsToAsk returns the workers to ask about: those with free capacity for the step that
+// are allowed, or weren't asked about yet.
+func (c *Cell) hostsToAsk(s *stepState) []string {
 	var hosts []string
-	for _, w := range c.usableIn(s.job.terms.Service) {
-		may, asked := s.advice.asked[w]
-		if asked && !may || c.ticket(s, w) != "" || !c.suits(s, w) || !s.ready[0].mayRunOn(w, c.now) {
+	for _, w := range c.usableWorkers(s.job.terms.Service) {
+		allowed, asked := s.advice.allowed[w]
+		if asked && !allowed || c.ticket(s, w) != "" || !c.fitsWithoutTicket(s, w) || !s.ready[0].mayRunOn(w, c.now) {
 			continue
 		}
 		hosts = append(hosts, w.host.ID)
-		if len(hosts) == askedAtOnce {
+		if len(hosts) == maxHostsPerRequest {
 			break
 		}
 	}
 	return hosts
 }
 
-// advised takes the adviser's answer.
-func (c *Cell) advised(in Advised) {
-	c.adviceBusy = false
-	c.changed = true
+// handleAdvised stores the tickets that the adviser granted.
+func (c *Cell) handleAdvised(in Advised) {
+	c.adviceInFlight = false
+	c.needsDispatch = true
 	if in.Err != nil {
-		c.adviceAfter = c.now + adviceRetry
-		c.note("no advice", "job", in.Job, "step", in.Step, "err", in.Err)
+		c.adviceRetryAt = c.now + adviceRetryInterval
+		c.logEvent("no advice", "job", in.Job, "step", in.Step, "err", in.Err)
 		return
 	}
 	s := c.stepOf(in.Job, in.Round, in.Step)
 	if s == nil || s.advice == nil {
 		return
 	}
-	s.tried = 0
+	s.lastFailedPass = 0
 	for _, h := range in.Hosts {
-		if w := c.thereSince(h, in.Sent); w != nil {
-			s.advice.asked[w] = false
+		if w := c.workerSince(h, in.Sent); w != nil {
+			s.advice.allowed[w] = false
 		}
 	}
 	for _, t := range in.Tickets {
-		if w := c.thereSince(t.Host, in.Sent); w != nil {
-			s.advice.asked[w] = true
-			s.advice.tickets[w] = ticket{value: t.Ticket, until: in.Sent + in.Valid - adviceMargin}
+		if w := c.workerSince(t.Host, in.Sent); w != nil {
+			s.advice.allowed[w] = true
+			s.advice.tickets[w] = ticket{value: t.Ticket, expiresAt: in.Sent + in.Valid - ticketMargin}
 		}
 	}
-	c.note("advice", "job", in.Job, "step", in.Step, "asked", len(in.Hosts), "allowed", len(in.Tickets))
+	c.logEvent("advice", "job", in.Job, "step", in.Step, "asked", len(in.Hosts), "allowed", len(in.Tickets))
 }
 
-// thereSince returns a worker that hasn't restarted since a time, as far as is known.
-func (c *Cell) thereSince(id string, at time.Duration) *worker {
-	if w := c.workers[id]; w != nil && w.since <= at {
+// workerSince returns the worker if no restart of it is known since the given time, nil
+// otherwise.
+func (c *Cell) workerSince(id string, at time.Duration) *worker {
+	if w := c.workers[id]; w != nil && w.knownSince <= at {
 		return w
 	}
 	return nil
 }
 
+// stepOf returns a step of a job's round, nil if the job or round isn't open.
 func (c *Cell) stepOf(id string, number, step int) *stepState {
 	j := c.jobs[id]
 	if j == nil || j.rounds[number] == nil || step >= len(j.rounds[number].steps) {
@@ -129,10 +131,10 @@
 	return j.rounds[number].steps[step]
 }
 
-// usableIn returns the workers of a service that may get tasks, as of the last
-// look.
-func (c *Cell) usableIn(service string) []*worker {
-	if p := c.looks.pools[service]; p != nil {
+// usableWorkers returns the workers of a service that could get tasks at the last dispatch
+// pass.
+func (c *Cell) usableWorkers(service string) []*worker {
+	if p := c.passes.pools[service]; p != nil {
 		return p.usable
 	}
 	return nil
--- a/cell/advice_test.go
+++ b/cell/advice_test.go
@@ -10,13 +10,12 @@
 	"github.com/dogwoodladder/dogwoodladder/queue"
 )
 
-// TestAdvice plays a queue whose tasks may run on two of four workers only,
-// which the adviser alone knows. Tickets end after a while and are asked for
-// again.
+// TestAdvice checks a queue whose tasks may run on only two of four workers, which only
+// the adviser knows. Tickets expire and are requested again.
 func TestAdvice(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 4, 2)
-	s.advised = func(host string) bool { return host[:2] == "w1" || host[:2] == "w3" }
+	s.isAllowed = func(host string) bool { return host[:2] == "w1" || host[:2] == "w3" }
 	advised := terms
 	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: ticketTime}
 	s.table = queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: advised}}, []queue.Service{{Name: service}})
@@ -25,27 +24,27 @@
 			s.submit(&job.Job{ID: jobID(i), Spec: "x", Steps: []job.Step{step(6, 2), step(2, 2, 0)}})
 		})
 	}
-	s.owners[0].take()
-	s.after(3300*time.Millisecond, func() { s.takeover(0, 1) })
-	s.run(quiet)
+	s.owners[0].takeOver()
+	s.after(3300*time.Millisecond, func() { s.replaceOwner(0, 1) })
+	s.run(settleTime)
 	s.mustComplete(6)
 	is.True(len(s.tickets) >= 4) // both workers were asked about again
 }
 
-// Guards against starts with a ticket of the worker's incarnation before.
+// Guards against starts with a ticket of a worker's previous incarnation.
 func TestTicketsEndWithTheirIncarnation(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 2, 4, 1)
-	s.advised = func(string) bool { return true }
+	s.isAllowed = func(string) bool { return true }
 	advised := terms
 	advised.Advice = &job.Advice{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: ticketTime}
 	s.table = queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: advised}}, []queue.Service{{Name: service}})
 	s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(120, 2)}})
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	for n := range 4 {
-		s.after(time.Duration(n+1)*2*time.Second, func() { s.restartSome(2, 400*time.Millisecond, false) })
+		s.after(time.Duration(n+1)*2*time.Second, func() { s.restartEvery(2, 400*time.Millisecond, false) })
 	}
-	s.run(quiet)
+	s.run(settleTime)
 	s.mustComplete(1)
 	is.Equal(s.ticketsRefused, 0)
 }
--- a/cell/backlog.go
+++ b/cell/backlog.go
@@ -5,10 +5,10 @@
 	"github.com/dogwoodladder/dogwoodladder/ranking"
 )
 
-// backlog returns what waits because this owner doesn't keep up or its workers have no
-// room, nil if neither is so.
+// backlog returns the tasks that wait because this owner is overloaded or its workers have
+// no free capacity, nil if neither is the case.
 func (c *Cell) backlog() *overload.Backlog {
-	b := c.gauge.Backlog(c.now)
+	b := c.overloadGauge.Backlog(c.now)
 	full := c.fullPools()
 	if b == nil && len(full) == 0 {
 		return nil
@@ -17,50 +17,52 @@
 		return &overload.Backlog{Full: full}
 	}
 	b.Full = full
-	for _, s := range c.waiting {
+	for _, s := range c.waitingSteps {
 		b.Add(s.job.terms.Priority, len(s.ready))
 	}
 	return b
 }
 
-// fullPools returns the services in whose pools urgent tasks wait for room.
+// fullPools returns the services in whose pools urgent tasks wait for free capacity, with
+// the priority that overload.Full determines for each.
 func (c *Cell) fullPools() map[string]int {
-	late := make(map[string]map[int]int64)
-	for _, s := range c.waiting {
-		if !c.lacksRoom(s) {
+	lateProcessors := make(map[string]map[int]int64)
+	for _, s := range c.waitingSteps {
+		if !c.lacksCapacity(s) {
 			continue
 		}
 		service := s.job.terms.Service
-		if late[service] == nil {
-			late[service] = make(map[int]int64)
+		if lateProcessors[service] == nil {
+			lateProcessors[service] = make(map[int]int64)
 		}
-		late[service][s.job.terms.Priority] += s.need.Processors * int64(len(s.ready))
+		lateProcessors[service][s.job.terms.Priority] += s.need.Processors * int64(len(s.ready))
 	}
 	full := make(map[string]int)
-	for service, byPriority := range late {
-		if priority, ok := overload.Full(byPriority, c.processorsOf(service)); ok {
+	for service, byPriority := range lateProcessors {
+		if priority, ok := overload.Full(byPriority, c.usableProcessors(service)); ok {
 			full[service] = priority
 		}
 	}
 	return full
 }
 
-// lacksRoom reports whether a step's tasks are urgent, beyond their objective, and
-// have found no worker for a while.
-func (c *Cell) lacksRoom(s *stepState) bool {
+// lacksCapacity reports whether a step has urgent tasks that are past their objective and
+// have found no worker for at least overload.RoomPatience.
+func (c *Cell) lacksCapacity(s *stepState) bool {
 	if s.spec.Lasting || s.spec.Fills || len(s.ready) == 0 {
 		return false
 	}
-	return s.rank.Standing != ranking.InTime && s.tried > 0 && c.now-s.ready[0].waits >= overload.RoomPatience
+	return s.rank.Standing != ranking.InTime && s.lastFailedPass > 0 && c.now-s.ready[0].waitingSince >= overload.RoomPatience
 }
 
-// processorsOf returns the processors of a service's workers that may get tasks.
-func (c *Cell) processorsOf(service string) int64 {
-	whole := int64(0)
+// usableProcessors returns the total processors of the service's workers that may get
+// tasks.
+func (c *Cell) usableProcessors(service string) int64 {
+	total := int64(0)
 	for _, w := range c.pools[service] {
-		if c.usable(w) {
-			whole += w.host.Capacity.Processors
+		if c.isUsable(w) {
+			total += w.host.Capacity.Processors
 		}
 	}
-	return whole
+	return total
 }
--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// BenchmarkOwner plays 10 s of a site of 490 workers with a thousand starts a
-// second, and tells what the owner spends on each start.
+// BenchmarkOwner simulates 10 s of a site of 490 workers with a thousand starts a second,
+// and reports the owner's time per start.
 func BenchmarkOwner(b *testing.B) {
 	for range b.N {
 		s := newSite(&testing.T{}, 1, 490, 1)
-		s.length = func(string) time.Duration { return 1700 * time.Millisecond }
+		s.duration = func(string) time.Duration { return 1700 * time.Millisecond }
 		n := 0
 		var arrive func()
 		arrive = func() {
@@ -28,15 +28,15 @@
 			s.after(20*time.Millisecond, arrive)
 		}
 		s.after(0, arrive)
-		s.owners[0].take()
+		s.owners[0].takeOver()
 		s.run(10 * time.Second)
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(s.ran)+1), "ns/start")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(s.completed)+1), "ns/start")
 	}
 }
 
-// BenchmarkList tells what an owner spends on a list of workers in which nothing
-// has changed, of which it takes three a second. Of 490 workers 0.05 ms, before
-// such lists were told from others 0.77; of 1,100 workers 0.17 and 1.6.
+// BenchmarkList measures the owner's time for an unchanged list of workers, of which it
+// receives three a second. With 490 workers it takes 0.05 ms, and 0.77 ms if unchanged
+// lists aren't detected; with 1,100 workers 0.17 and 1.6 ms.
 func BenchmarkList(b *testing.B) {
 	for _, workers := range []int{66, 490, 1100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/cell/room_test.go
+++ b/cell/capacity_test.go
@@ -9,24 +9,24 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// hasRoom reports whether an instance that follows the record accepts lasting jobs.
-func (s *site) hasRoom() bool {
-	return s.store.fold(s.t).Backlog().HasRoom(service, terms.Priority)
+// acceptsLasting reports whether an instance that reads the record accepts lasting jobs.
+func (s *site) acceptsLasting() bool {
+	return s.store.readCatalog(s.t).Backlog().HasRoom(service, terms.Priority)
 }
 
-// Guards against urgent jobs that wait for room which lasting jobs go on taking.
+// Guards against urgent jobs that wait for capacity that new lasting jobs keep taking.
 func TestUrgentJobsFindRoom(t *testing.T) {
 	const (
-		workers = 40
-		span    = 60 * time.Second
-		lasts   = 12 * time.Second // in the mean
-		patient = 2 * time.Second  // of callers, beyond the objective on top of the work
+		workers        = 40
+		span           = 60 * time.Second
+		lifetime       = 12 * time.Second // on average
+		callerPatience = 2 * time.Second  // that callers wait beyond the objective
 	)
 	tests := []struct {
 		name     string
-		every    time.Duration // between two lasting jobs
+		interval time.Duration // between two lasting jobs
 		reject   bool
-		rejected [2]int // least and most
+		rejected [2]int // minimum and maximum
 		inTime   [2]float64
 	}{
 		{"all are accepted", 600 * time.Millisecond, false, [2]int{}, [2]float64{0, 0.2}},
@@ -37,12 +37,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 1, workers, 1)
-			s.length = func(string) time.Duration { return time.Second }
+			s.duration = func(string) time.Duration { return time.Second }
 			rejected, urgent, n := 0, 0, 0
 			submitted := make(map[string]time.Duration)
-			for at := time.Duration(0); at < span; at += test.every {
+			for at := time.Duration(0); at < span; at += test.interval {
 				s.after(at, func() {
-					if test.reject && !s.hasRoom() {
+					if test.reject && !s.acceptsLasting() {
 						rejected++
 						return
 					}
@@ -52,7 +52,7 @@
 					j.Steps[0].Lasting = true
 					j.Steps[0].PerWorker = 1
 					s.submit(j)
-					s.after(lasts+time.Duration(n%9-4)*time.Second, func() { s.cancel(id) })
+					s.after(lifetime+time.Duration(n%9-4)*time.Second, func() { s.cancel(id) })
 				})
 			}
 			for at := 5 * time.Second; at < span; at += 500 * time.Millisecond {
@@ -64,25 +64,25 @@
 				})
 			}
 			inTime := 0
-			s.after(0, func() { s.owners[0].take() })
-			var look func()
-			look = func() {
-				known := s.store.fold(t)
+			s.after(0, func() { s.owners[0].takeOver() })
+			var poll func()
+			poll = func() {
+				known := s.store.readCatalog(t)
 				for id, at := range submitted {
 					if state, _ := known.State(id); state.Final() {
 						delete(submitted, id)
-						if s.now-at <= terms.Objective+patient {
+						if s.now-at <= terms.Objective+callerPatience {
 							inTime++
 						}
 					}
 				}
-				s.after(100*time.Millisecond, look)
+				s.after(100*time.Millisecond, poll)
 			}
-			s.after(0, look)
+			s.after(0, poll)
 			s.run(span + 5*time.Second)
 			share := float64(inTime) / float64(urgent)
 			t.Logf("%d of %d lasting jobs rejected, %.2f of the urgent ones in time", rejected, n-urgent+rejected, share)
-			is.Equal(s.broken, nil)
+			is.Equal(s.violations, nil)
 			is.True(rejected >= test.rejected[0] && rejected <= test.rejected[1])
 			is.True(share >= test.inTime[0] && share <= test.inTime[1])
 		})
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,6 +1,6 @@
-// Package cell decides for a set of workers and the jobs that run on them:
-// which task starts where and when, and what an end means. A cell has one
-// owner at a time, the instance that holds the highest term.
+// Package cell is the scheduler's decision core for a set of workers and the jobs that run
+// on them: it decides which task starts where and when, and what follows from the end of a
+// run. A cell has one owner at a time, the instance that holds the highest term.
 //
 // Usage:
 //
@@ -9,20 +9,20 @@
 //		carryOut(a) // its outcome comes back as an input
 //	}
 //
-// A Cell is pure: no input or output, no clock, no randomness. It is used by
-// one goroutine.
+// A Cell is a pure state machine: it performs no input or output, reads no clock and draws
+// no random numbers. It is used by one goroutine.
 //
-// What makes it safe to own a cell without an agreement:
+// A cell is owned safely without a consensus protocol, because:
 //
-//   - The term fences the owner's writes at the store and its orders at the
-//     workers, which ignore lower terms than they have seen.
-//   - What runs is known by the workers. A new owner asks each worker that an
-//     earlier one may have used before it starts anything that an earlier one
-//     may have started.
-//   - A worker that it can't ask is waited out: its lease ends, and an owner
-//     without the store stops extending leases.
-//   - An end is recorded before it is acknowledged, so that the worker lists
-//     it until it is on record.
+//   - The term is a fencing token for the owner's writes to the store and its
+//     orders to the workers. Workers reject a term lower than one they have seen.
+//   - The workers are the source of truth for what runs. A new owner asks each
+//     worker that an earlier owner may have used before it starts any task that
+//     an earlier owner may have started.
+//   - If a worker can't be reached, the owner waits until its lease has expired.
+//     An owner that can't reach the store stops renewing leases.
+//   - The end of a run is recorded before it is acknowledged, so that the worker
+//     lists it until it is on record.
 package cell
 
 import (
@@ -38,237 +38,237 @@
 	"github.com/dogwoodladder/dogwoodladder/ranking"
 )
 
-// attemptsPerTerm is how many times one owner may start a task. Attempts of a
-// later owner are above it, so that they rise without being recorded.
+// attemptsPerTerm is how many times one owner may start a task. The attempt numbers of a
+// later owner start above this range, so that they increase without being recorded.
 const attemptsPerTerm = 1 << 12
 
-// Self tells who owns the cell.
+// Self identifies the owner of the cell.
 type Self struct {
 	Instance string
-	Nonce    uint64 // of the process
+	Nonce    uint64 // identifies the process
 	Term     uint64
-	Sequence uint64 // of the write that claimed the term; the next ones follow
+	Sequence uint64 // of the write that claimed the term; later writes count up from it
 }
 
-// Cell is the owner's state.
+// Cell is the state of the cell at its owner.
 type Cell struct {
-	self        Self
-	timing      Timing
-	now         time.Duration
-	wall        time.Time
-	table       *queue.Table
-	jobs        map[string]*jobState
-	workers     map[string]*worker
-	all         []*worker            // in a fixed order, nil if it has to be made anew
-	pools       map[string][]*worker // by service, in a fixed order
-	looks       looks
-	waiting     []*stepState    // steps with tasks to start, the most urgent first
-	ranking     ranking.Ranking // that waiting is in the order of
-	sorted      bool            // whether waiting is in order
-	ordered     time.Duration   // when waiting was last put in order
-	flow        flow
-	gauge       overload.Gauge
-	changed     bool        // whether a start may have become possible
-	timed       []*jobState // jobs with occurrences to come
-	saves       saver
-	survey      survey
-	list        hostList
-	cordoned    map[string]bool // availability zones whose workers get no new tasks
-	pressure    *pressure.Estimator
-	plan        *colocation.Plan
-	plannedAt   time.Duration
-	tokens      map[string]uint64  // of the next incarnation of workers that were dropped, by ID
-	unsettled   map[string][]*run  // starts that may still be carried out by the next incarnation of their worker, by its ID
-	kept        []*task            // tasks that are being moved, with room kept for them
-	down        map[*worker]span   // workers that went down a moment ago, without a trial
-	demand      map[string]float64 // processors that filling images want, in workers
-	adviceBusy  bool               // an Advise is under way
-	adviceAfter time.Duration
-	waves       map[int]*wave
-	known       map[int]catalog.Wave // progress of waves as read from the record
-	wavedAt     time.Duration
-	began       time.Duration // when this owner took the cell
-	asking      bool          // a ListMachines is under way
-	askedAt     time.Duration
-	forgetting  bool // a Forget is under way
-	forgotAt    time.Duration
-	deposed     bool
-	learnedAt   time.Duration // when what was learned was last put on record
-	toldAt      time.Duration // when the backlog was
-	toldBacklog bool          // and whether there was any
-	beats       uint64
-	reported    time.Duration // when the load was last logged
-	checked     time.Duration // when the workers were last looked over
-	actions     []Action
+	self                Self
+	timing              Timing
+	now                 time.Duration
+	wall                time.Time
+	queues              *queue.Table
+	jobs                map[string]*jobState
+	workers             map[string]*worker
+	sortedWorkers       []*worker            // by ID; nil when it has to be rebuilt
+	pools               map[string][]*worker // by service, sorted by ID
+	passes              passState
+	waitingSteps        []*stepState    // steps with tasks to start, the most urgent first
+	ranking             ranking.Ranking // the ranking that waitingSteps is sorted by
+	waitingSorted       bool            // whether the order of waitingSteps is up to date
+	sortedAt            time.Duration   // when waitingSteps was last sorted
+	startLimiter        startLimiter
+	overloadGauge       overload.Gauge
+	needsDispatch       bool        // an input may have made a start possible
+	scheduledJobs       []*jobState // jobs with occurrences that aren't due yet
+	writer              recordWriter
+	survey              survey
+	hosts               hostList
+	cordonedZones       map[string]bool // availability zones whose workers get no new tasks
+	pressure            *pressure.Estimator
+	plan                *colocation.Plan
+	lastPlanAt          time.Duration
+	nextTokens          map[string]uint64     // token for the next incarnation of a dropped worker, by ID
+	unresolvedStarts    map[string][]*run     // starts that the next incarnation of their worker may still carry out, by worker ID
+	reservedTasks       []*task               // tasks that hold a reservation
+	recentlyDown        map[*worker]crashSpan // workers that went down recently without a trial
+	fillingDemand       map[string]float64    // demand for filling tasks by image, in workers
+	adviceInFlight      bool                  // an Advise has no outcome yet
+	adviceRetryAt       time.Duration
+	waves               map[int]*wave
+	recordedWaves       map[int]catalog.Wave // progress of waves read from the record
+	lastWaveCheck       time.Duration
+	ownedSince          time.Duration // when this owner took the cell
+	machineListInFlight bool          // a ListMachines has no outcome yet
+	lastMachineListAt   time.Duration
+	forgetInFlight      bool // a Forget has no outcome yet
+	lastForgetAt        time.Duration
+	deposed             bool
+	lastLearnedAt       time.Duration // when the learned weights were last put on record
+	lastBacklogAt       time.Duration // when the backlog was last put on record
+	backlogReported     bool          // the last record reported a backlog
+	heartbeats          uint64
+	lastLoadLogAt       time.Duration // when the load was last logged
+	lastCheckAt         time.Duration // when the workers were last checked
+	actions             []Action
 }
 
-// New returns the Cell of a new owner that knows all jobs of a catalog read
-// after its term was set.
-func New(self Self, timing Timing, known *catalog.Catalog, now time.Duration, wall time.Time) (*Cell, error) {
+// New returns the Cell of a new owner. The catalog has to hold all jobs; it is read after
+// the owner's term was set.
+func New(self Self, timing Timing, recorded *catalog.Catalog, now time.Duration, wall time.Time) (*Cell, error) {
 	c := &Cell{
-		self:      self,
-		timing:    timing,
-		now:       now,
-		wall:      wall,
-		table:     queue.New(0, queue.Limits{}, nil, nil),
-		jobs:      make(map[string]*jobState),
-		waves:     make(map[int]*wave),
-		known:     known.Waves(),
-		began:     now,
-		workers:   make(map[string]*worker),
-		pools:     make(map[string][]*worker),
-		looks:     looks{pools: make(map[string]*pool)},
-		pressure:  pressure.New(),
-		demand:    make(map[string]float64),
-		down:      make(map[*worker]span),
-		tokens:    make(map[string]uint64),
-		unsettled: make(map[string][]*run),
-		saves:     newSaver(now, self.Sequence+1),
-		list:      hostList{old: true},
-		flow:      newFlow(),
+		self:             self,
+		timing:           timing,
+		now:              now,
+		wall:             wall,
+		queues:           queue.New(0, queue.Limits{}, nil, nil),
+		jobs:             make(map[string]*jobState),
+		waves:            make(map[int]*wave),
+		recordedWaves:    recorded.Waves(),
+		ownedSince:       now,
+		workers:          make(map[string]*worker),
+		pools:            make(map[string][]*worker),
+		passes:           passState{pools: make(map[string]*pool)},
+		pressure:         pressure.New(),
+		fillingDemand:    make(map[string]float64),
+		recentlyDown:     make(map[*worker]crashSpan),
+		nextTokens:       make(map[string]uint64),
+		unresolvedStarts: make(map[string][]*run),
+		writer:           newRecordWriter(now, self.Sequence+1),
+		hosts:            hostList{stale: true},
+		startLimiter:     newStartLimiter(),
 	}
-	entries, err := known.Entries()
+	entries, err := recorded.Entries()
 	if err != nil {
 		return nil, err
 	}
-	if data := known.Learned(); len(data) > 0 {
+	if data := recorded.Learned(); len(data) > 0 {
 		if err := c.pressure.Load(data); err != nil {
-			c.note("weights not loaded", "err", err)
+			c.logEvent("weights not loaded", "err", err)
 		}
 	}
 	for _, e := range inOrder(entries) {
 		c.addJob(e)
 	}
-	for _, id := range known.Orphans() {
-		c.saves.drop(id)
+	for _, id := range recorded.Orphans() {
+		c.writer.dropProgress(id)
 	}
-	for _, h := range inOrder(known.Hosts()) {
+	for _, h := range inOrder(recorded.Hosts()) {
 		w := c.addWorker(h)
 		w.registered = true
 		w.born = h.Born
 		c.survey.add(w)
 	}
-	c.survey.remember(self.Term, known.Crashed())
-	c.survey.begin(now, &timing)
+	c.survey.restoreCrashed(self.Term, recorded.Crashed())
+	c.survey.start(now, &timing)
 	return c, nil
 }
 
-// Step takes an input and returns what is to be done.
+// Step applies an input and returns the actions to carry out.
 func (c *Cell) Step(now time.Duration, in Input) []Action {
 	if c.deposed {
 		return nil
 	}
 	c.actions = nil
-	c.awake(now)
+	c.detectFreeze(now)
 	c.now = max(c.now, now)
 	switch in := in.(type) {
 	case Arrived:
-		c.arrived(in.Entry)
+		c.handleArrived(in.Entry)
 	case Hosts:
-		c.listed(in.List)
+		c.handleHosts(in.List)
 	case Configured:
-		c.configured(in.Table)
+		c.handleConfigured(in.Table)
 	case HoldReply:
-		c.held(in)
+		c.handleHoldReply(in)
 	case StartReply:
-		c.started(in)
+		c.handleStartReply(in)
 	case StopReply:
-		c.stopped(in)
+		c.handleStopReply(in)
 	case PaceReply:
-		c.paced(in)
+		c.handlePaceReply(in)
 	case Waves:
-		c.setWaves(in.Waves)
+		c.handleWaves(in.Waves)
 	case Cordoned:
-		c.cordon(in.AvailabilityZones)
+		c.handleCordoned(in.AvailabilityZones)
 	case Advised:
-		c.advised(in)
+		c.handleAdvised(in)
 	case UpkeepReply:
-		c.upkept(in)
+		c.handleUpkeepReply(in)
 	case Forgotten:
-		c.forgotten(in)
+		c.handleForgotten(in)
 	case MachineList:
-		c.machines(in)
+		c.handleMachineList(in)
 	case Saved:
-		c.saved(in)
+		c.handleSaved(in)
 	case Tick:
-		c.tick(in)
+		c.handleTick(in)
 	}
 	if c.deposed {
 		return c.actions
 	}
-	c.settle()
+	c.dispatchAndWrite()
 	return c.actions
 }
 
-// settle does what follows from any input.
-func (c *Cell) settle() {
-	if c.changed && c.now-c.looks.last >= c.looks.pause {
-		c.changed = false
+// dispatchAndWrite starts tasks and writes records after an input.
+func (c *Cell) dispatchAndWrite() {
+	if c.needsDispatch && c.now-c.passes.lastAt >= c.passes.minGap {
+		c.needsDispatch = false
 		c.dispatch()
 	}
-	c.save()
+	c.writeRecords()
 }
 
-func (c *Cell) tick(in Tick) {
+func (c *Cell) handleTick(in Tick) {
 	c.wall = in.Wall
 	c.openOccurrences()
-	if c.now-c.checked >= checkEvery {
-		c.checked = c.now
+	if c.now-c.lastCheckAt >= checkInterval {
+		c.lastCheckAt = c.now
 		c.checkWorkers()
-		c.askMachines()
-		c.workWaves()
+		c.requestMachineList()
+		c.advanceWaves()
 		c.forgetOld()
-		c.changed = true
+		c.needsDispatch = true
 	}
-	c.holdIdle()
-	c.reportLoad()
+	c.sendDueHolds()
+	c.logLoad()
 }
 
-// checkEvery is the time between two looks over all workers for leases that
-// ran out, stops that are overdue and tasks that hang.
-const checkEvery = 100 * time.Millisecond
+// checkInterval is the time between two checks of all workers for expired leases, overdue
+// stops and hanging tasks.
+const checkInterval = 100 * time.Millisecond
 
-func (c *Cell) do(a Action) {
+func (c *Cell) emit(a Action) {
 	c.actions = append(c.actions, a)
 }
 
-func (c *Cell) note(event string, fields ...any) {
-	c.do(Note{Event: event, Fields: fields})
+func (c *Cell) logEvent(event string, fields ...any) {
+	c.emit(Note{Event: event, Fields: fields})
 }
 
 func (c *Cell) depose(reason string) {
 	c.deposed = true
-	c.do(Deposed{Reason: reason})
+	c.emit(Deposed{Reason: reason})
 }
 
-func (c *Cell) configured(t *queue.Table) {
-	c.table = t
+func (c *Cell) handleConfigured(t *queue.Table) {
+	c.queues = t
 	for _, j := range c.jobs {
 		j.terms = c.termsOf(j.job)
 	}
-	for _, s := range c.waiting {
-		s.tried = 0
+	for _, s := range c.waitingSteps {
+		s.lastFailedPass = 0
 	}
-	c.sorted = false
-	c.changed = true
+	c.waitingSorted = false
+	c.needsDispatch = true
 }
 
-// termsOf returns the terms in force for a job's queue, or those it was
-// accepted on if the queue is gone.
+// termsOf returns the current terms of a job's queue, or the terms the job was accepted
+// with if the queue no longer exists.
 func (c *Cell) termsOf(j *job.Job) job.Terms {
-	if q, ok := c.table.Named(j.Queue); ok {
+	if q, ok := c.queues.Named(j.Queue); ok {
 		return q.Terms
 	}
 	return j.Terms
 }
 
-// mayOrder reports whether the owner wrote to the store so recently that a
-// successor, which waits longer than this, can't have given up on its leases.
-func (c *Cell) mayOrder() bool {
-	return c.now-c.saves.contact < c.timing.Isolation
+// canOrder reports whether the owner wrote to the store recently enough to give orders. A
+// successor waits longer than this before it gives up on the owner's leases.
+func (c *Cell) canOrder() bool {
+	return c.now-c.writer.lastContact < c.timing.Isolation
 }
 
-// order returns an order for a run on the worker.
-func (w *worker) order(r *run) provider.RunOrder {
+// runOrder returns an order that addresses a run on the worker.
+func (w *worker) runOrder(r *run) provider.RunOrder {
 	return provider.RunOrder{Host: w.host, Token: w.token, Task: r.name, Attempt: r.attempt}
 }
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -12,8 +12,8 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// quiet is how long a site gets, after its faults are over, to end all jobs.
-const quiet = 40 * time.Second
+// settleTime is how long a site gets, after its faults are over, to finish all jobs.
+const settleTime = 40 * time.Second
 
 func step(count int, cores int64, after ...int) job.Step {
 	return job.Step{
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%016x", n)
 }
 
-func fill(s *site, n int) {
+func submitJobs(s *site, n int) {
 	for i := range n {
 		s.submit(&job.Job{ID: jobID(i), Spec: "x", Steps: []job.Step{step(3, 2), step(2, 3, 0)}})
 	}
@@ -37,7 +37,7 @@
 func (s *site) mustComplete(n int) {
 	s.t.Helper()
 	is := is.New(s.t)
-	for _, b := range s.broken {
+	for _, b := range s.violations {
 		s.t.Error(b)
 	}
 	for i := range n {
@@ -47,224 +47,226 @@
 
 func TestJobsComplete(t *testing.T) {
 	s := newSite(t, 1, 4, 1)
-	fill(s, 12)
-	s.owners[0].take()
-	s.run(quiet)
+	submitJobs(s, 12)
+	s.owners[0].takeOver()
+	s.run(settleTime)
 	s.mustComplete(12)
 }
 
-// Guards against runs that a new owner finds and counts as needing no room.
+// Guards against a new owner that adopts runs without counting the capacity they use.
 func TestTakeoverCountsWhatRuns(t *testing.T) {
 	s := newSite(t, 2, 3, 2)
-	s.length = func(string) time.Duration { return 3 * time.Second }
-	fill(s, 20)
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 3 * time.Second }
+	submitJobs(s, 20)
+	s.owners[0].takeOver()
 	s.after(2*time.Second, func() {
 		for i := range 6 {
 			s.cancel(jobID(i))
 		}
 		s.owners[0].kill()
 	})
-	s.after(2100*time.Millisecond, s.owners[1].take)
-	s.run(2 * quiet)
+	s.after(2100*time.Millisecond, s.owners[1].takeOver)
+	s.run(2 * settleTime)
 	is := is.New(t)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	for i := 6; i < 20; i++ {
 		is.Equal(s.state(jobID(i)), "completed")
 	}
 }
 
-// Guards against orders of an owner that stood still while another one took the cell.
+// Guards against orders of an owner that was frozen while another one took the cell.
 func TestFrozenOwnerWakes(t *testing.T) {
 	s := newSite(t, 3, 4, 2)
-	fill(s, 20)
-	s.owners[0].take()
+	submitJobs(s, 20)
+	s.owners[0].takeOver()
 	s.after(1500*time.Millisecond, func() { s.owners[0].freeze(4 * time.Second) })
-	s.after(3*time.Second, s.owners[1].take)
-	s.run(quiet)
+	s.after(3*time.Second, s.owners[1].takeOver)
+	s.run(settleTime)
 	s.mustComplete(20)
 }
 
-// Guards against tasks that run on where a new owner can't look, and are run again.
+// Guards against tasks that go on running on workers that a new owner can't reach, and are
+// run again.
 func TestOwnerCutOffWithItsWorkers(t *testing.T) {
 	s := newSite(t, 4, 4, 2)
-	s.length = func(string) time.Duration { return 2500 * time.Millisecond }
-	fill(s, 16)
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 2500 * time.Millisecond }
+	submitJobs(s, 16)
+	s.owners[0].takeOver()
 	s.after(1500*time.Millisecond, func() {
 		s.owners[0].noStore = true
 		for i := range 2 {
-			s.owners[1].noWorker[i] = true
-			s.owners[0].noWorker[2+i] = true
+			s.owners[1].unreachable[i] = true
+			s.owners[0].unreachable[2+i] = true
 		}
 	})
-	s.after(3*time.Second, s.owners[1].take)
+	s.after(3*time.Second, s.owners[1].takeOver)
 	s.after(9*time.Second, func() {
 		s.owners[0].noStore = false
-		clear(s.owners[0].noWorker)
-		clear(s.owners[1].noWorker)
+		clear(s.owners[0].unreachable)
+		clear(s.owners[1].unreachable)
 	})
-	s.run(2 * quiet)
+	s.run(2 * settleTime)
 	s.mustComplete(16)
 }
 
-// Guards against a lease that counts as ended for an owner that may have been replaced.
+// Guards against a lease that counts as expired for an owner that may have been replaced.
 func TestLeaseEndsOnlyForAnOwner(t *testing.T) {
 	s := newSite(t, 5, 4, 2)
-	s.length = func(string) time.Duration { return 20 * time.Second }
-	fill(s, 3)
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 20 * time.Second }
+	submitJobs(s, 3)
+	s.owners[0].takeOver()
 	s.after(2*time.Second, func() {
-		s.owners[0].noWorker[0] = true
+		s.owners[0].unreachable[0] = true
 		for i := 1; i < 4; i++ {
-			s.owners[1].noWorker[i] = true
+			s.owners[1].unreachable[i] = true
 		}
 	})
 	s.after(6*time.Second, func() { s.owners[0].noStore = true })
-	s.after(7800*time.Millisecond, s.owners[1].take)
+	s.after(7800*time.Millisecond, s.owners[1].takeOver)
 	s.after(13500*time.Millisecond, func() {
 		s.owners[0].noStore = false
-		clear(s.owners[0].noWorker)
-		clear(s.owners[1].noWorker)
+		clear(s.owners[0].unreachable)
+		clear(s.owners[1].unreachable)
 	})
-	s.run(4 * quiet)
+	s.run(4 * settleTime)
 	s.mustComplete(3)
 }
 
-// Guards against an owner without the store that extends leases for longer than its successor waits.
+// Guards against an owner without the store that renews leases for longer than its
+// successor waits.
 func TestIsolatedOwnerStopsExtending(t *testing.T) {
 	s := newSite(t, 15, 4, 2)
-	s.length = func(string) time.Duration { return 60 * time.Second }
-	fill(s, 4)
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 60 * time.Second }
+	submitJobs(s, 4)
+	s.owners[0].takeOver()
 	s.after(2*time.Second, func() {
 		s.owners[0].noStore = true
 		for i := range 2 {
-			s.owners[1].noWorker[i] = true
-			s.owners[0].noWorker[2+i] = true
+			s.owners[1].unreachable[i] = true
+			s.owners[0].unreachable[2+i] = true
 		}
 	})
-	s.after(4*time.Second, s.owners[1].take)
+	s.after(4*time.Second, s.owners[1].takeOver)
 	s.after(40*time.Second, func() {
 		s.owners[0].noStore = false
-		clear(s.owners[0].noWorker)
-		clear(s.owners[1].noWorker)
+		clear(s.owners[0].unreachable)
+		clear(s.owners[1].unreachable)
 	})
-	s.run(8 * quiet)
+	s.run(8 * settleTime)
 	s.mustComplete(4)
 }
 
-// Guards against ends that are acknowledged with a write that doesn't hold them.
+// Guards against ends that are acknowledged with a write that doesn't include them.
 func TestEndsDuringAWrite(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newSite(t, 200+seed, 4, 2)
 			s.storeDelay = 700 * time.Millisecond
-			fill(s, 16)
-			s.owners[0].take()
-			s.relay(8, 2900*time.Millisecond)
-			s.run(3 * quiet)
+			submitJobs(s, 16)
+			s.owners[0].takeOver()
+			s.alternateOwners(8, 2900*time.Millisecond)
+			s.run(3 * settleTime)
 			s.mustComplete(16)
 		})
 	}
 }
 
-// relay has the owners take the cell from each other a number of times.
-func (s *site) relay(times int, every time.Duration) {
+// alternateOwners makes two owners take the cell from each other a number of times.
+func (s *site) alternateOwners(times int, every time.Duration) {
 	for i := range times {
 		s.after(time.Duration(i+1)*every, func() {
-			s.takeover(i%2, (i+1)%2)
+			s.replaceOwner(i%2, (i+1)%2)
 		})
 	}
 }
 
-// Guards against a failure that counts again for the next owner that sees it listed.
+// Guards against a failure that is counted again by the next owner that sees it listed.
 func TestFailuresCountOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newSite(t, 300+seed, 4, 2)
 			s.storeDelay = 30 * time.Millisecond
-			s.length = func(string) time.Duration { return 200 * time.Millisecond }
+			s.duration = func(string) time.Duration { return 200 * time.Millisecond }
 			failed := make(map[string]int)
-			s.failing = func(task string, _ uint64) bool {
+			s.failsTask = func(task string, _ uint64) bool {
 				failed[task]++
 				return failed[task] < terms.Attempts
 			}
-			fill(s, 16)
-			s.owners[0].take()
-			s.relay(60, 130*time.Millisecond)
-			s.run(3 * quiet)
+			submitJobs(s, 16)
+			s.owners[0].takeOver()
+			s.alternateOwners(60, 130*time.Millisecond)
+			s.run(3 * settleTime)
 			s.mustComplete(16)
 		})
 	}
 }
 
-// Guards against attempts of a new owner that a worker refuses as too low.
+// Guards against attempt numbers of a new owner that a worker refuses as too low.
 func TestAttemptsRiseOverOwners(t *testing.T) {
 	s := newSite(t, 16, 1, 2)
-	s.failing = func(_ string, attempt uint64) bool { return attempt == firstAttempt }
-	fill(s, 2)
-	s.owners[0].take()
-	s.relay(1, 5*time.Second)
-	s.length = func(string) time.Duration { return 6 * time.Second }
-	s.run(3 * quiet)
+	s.failsTask = func(_ string, attempt uint64) bool { return attempt == firstAttempt }
+	submitJobs(s, 2)
+	s.owners[0].takeOver()
+	s.alternateOwners(1, 5*time.Second)
+	s.duration = func(string) time.Duration { return 6 * time.Second }
+	s.run(3 * settleTime)
 	s.mustComplete(2)
 }
 
-// Guards against a start without an answer that takes effect after it was given up.
+// Guards against an unanswered start that takes effect after it was given up.
 func TestOrdersCarriedOutLate(t *testing.T) {
 	s := newSite(t, 6, 5, 1)
-	s.lateOrders = 0.15
-	fill(s, 25)
-	s.owners[0].take()
-	s.after(20*time.Second, func() { s.lateOrders = 0 })
-	s.run(3 * quiet)
+	s.lateOrderRate = 0.15
+	submitJobs(s, 25)
+	s.owners[0].takeOver()
+	s.after(20*time.Second, func() { s.lateOrderRate = 0 })
+	s.run(3 * settleTime)
 	s.mustComplete(25)
 }
 
-// Guards against ends that count once for each time that they are seen.
+// Guards against ends that are counted each time they are listed.
 func TestLostAnswersOfTheStore(t *testing.T) {
 	s := newSite(t, 7, 4, 3)
-	s.lostSaves = 0.4
-	s.failing = func(_ string, attempt uint64) bool { return attempt == firstAttempt } // the first start of each task
-	fill(s, 16)
-	s.owners[0].take()
+	s.lostSaveRate = 0.4
+	s.failsTask = func(_ string, attempt uint64) bool { return attempt == firstAttempt } // the first start of each task
+	submitJobs(s, 16)
+	s.owners[0].takeOver()
 	for i, at := range []time.Duration{2500, 4100, 6000} {
 		s.after(at*time.Millisecond, func() {
-			s.takeover(i, (i+1)%3)
+			s.replaceOwner(i, (i+1)%3)
 		})
 	}
-	s.after(9*time.Second, func() { s.lostSaves = 0 })
-	s.run(3 * quiet)
+	s.after(9*time.Second, func() { s.lostSaveRate = 0 })
+	s.run(3 * settleTime)
 	s.mustComplete(16)
 }
 
-// Guards against tasks of a crashed worker that wait for its lease, or are lost.
+// Guards against tasks of a crashed worker that wait for its lease to expire, or are lost.
 func TestWorkerCrashes(t *testing.T) {
 	s := newSite(t, 8, 4, 1)
-	s.length = func(string) time.Duration { return 2 * time.Second }
-	fill(s, 12)
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 2 * time.Second }
+	submitJobs(s, 12)
+	s.owners[0].takeOver()
 	s.after(3*time.Second, func() { s.workers[0].crash(5*time.Second, 1) })
 	s.after(4*time.Second, func() { s.workers[1].crash(500*time.Millisecond, 1) })
 	s.run(16 * time.Second)
 	s.mustComplete(12)
 }
 
-// Guards against a cancellation that only the owner before knew.
+// Guards against a cancellation that only the previous owner knew about.
 func TestCancelDuringTakeover(t *testing.T) {
 	s := newSite(t, 9, 3, 2)
-	fill(s, 15)
-	s.owners[0].take()
+	submitJobs(s, 15)
+	s.owners[0].takeOver()
 	s.after(400*time.Millisecond, func() {
 		for i := range 15 {
 			s.cancel(jobID(i))
 		}
 	})
-	s.after(410*time.Millisecond, func() { s.takeover(0, 1) })
-	s.run(quiet)
+	s.after(410*time.Millisecond, func() { s.replaceOwner(0, 1) })
+	s.run(settleTime)
 	is := is.New(t)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	for i := range 15 {
 		is.Equal(s.state(jobID(i)), "cancelled")
 	}
@@ -276,28 +278,28 @@
 func TestAttemptsUsedUp(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 10, 4, 1)
-	s.failing = func(task string, _ uint64) bool { return task == jobID(0)+".0.0.1" }
-	fill(s, 2)
-	s.owners[0].take()
-	s.run(quiet)
-	is.Equal(s.broken, nil)
+	s.failsTask = func(task string, _ uint64) bool { return task == jobID(0)+".0.0.1" }
+	submitJobs(s, 2)
+	s.owners[0].takeOver()
+	s.run(settleTime)
+	is.Equal(s.violations, nil)
 	is.Equal(s.state(jobID(0)), "failed")
 	is.Equal(s.state(jobID(1)), "completed")
 	is.Equal(s.failures[jobID(0)+".0.0.1"], terms.Attempts)
 }
 
-// Guards against a lasting task that stays away after it ended.
+// Guards against a lasting task that isn't restarted after it ended.
 func TestLastingTasksAreRestarted(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 11, 4, 2)
-	s.length = func(string) time.Duration { return 4 * time.Second }
-	s.failing = func(_ string, attempt uint64) bool { return attempt%2 == 0 }
+	s.duration = func(string) time.Duration { return 4 * time.Second }
+	s.failsTask = func(_ string, attempt uint64) bool { return attempt%2 == 0 }
 	lasting := step(4, 2)
 	lasting.Lasting = true
 	s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{lasting}})
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.after(6*time.Second, func() { s.workers[0].crash(2*time.Second, 1) })
-	s.after(9*time.Second, func() { s.takeover(0, 1) })
+	s.after(9*time.Second, func() { s.replaceOwner(0, 1) })
 	running := 0
 	s.after(19*time.Second, func() {
 		for _, w := range s.workers {
@@ -305,7 +307,7 @@
 		}
 	})
 	s.run(20 * time.Second)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.Equal(running, 4)
 }
 
@@ -316,7 +318,7 @@
 	gang.Gang = true
 	s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{gang}})
 	s.submit(&job.Job{ID: jobID(1), Steps: []job.Step{step(2, 8)}})
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	attempts := make(map[uint64]int)
 	s.after(5*time.Second, func() {
 		for _, w := range s.workers {
@@ -327,9 +329,9 @@
 			}
 		}
 	})
-	s.length = func(string) time.Duration { return 8 * time.Second }
-	s.run(quiet)
-	is.Equal(s.broken, nil)
+	s.duration = func(string) time.Duration { return 8 * time.Second }
+	s.run(settleTime)
+	is.Equal(s.violations, nil)
 	is.Equal(len(attempts), 1) // all members share one attempt
 	for _, n := range attempts {
 		is.Equal(n, 6)
@@ -342,13 +344,13 @@
 	s := newSite(t, 13, 3, 1)
 	first := wall(5 * time.Second).UnixMilli()
 	s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{step(2, 1)}, First: first, Interval: 2000, Times: 3})
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.run(4900 * time.Millisecond)
 	is.Equal(s.state(jobID(0)), "queued") // nothing begins before its time
-	s.run(quiet)
-	is.Equal(s.broken, nil)
+	s.run(settleTime)
+	is.Equal(s.violations, nil)
 	is.Equal(s.state(jobID(0)), "completed")
-	is.Equal(len(s.ran), 6)
+	is.Equal(len(s.completed), 6)
 }
 
 func TestPlacement(t *testing.T) {
@@ -377,9 +379,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 14, 4, 1)
-			s.length = func(string) time.Duration { return 5 * time.Second }
+			s.duration = func(string) time.Duration { return 5 * time.Second }
 			s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{test.step()}})
-			s.owners[0].take()
+			s.owners[0].takeOver()
 			s.run(2 * time.Second)
 			started := 0
 			for _, w := range s.workers {
@@ -393,37 +395,37 @@
 	}
 }
 
-// Guards against tasks of a silent worker that are stopped as if they hung.
+// Guards against tasks of a silent worker that are stopped as if they were hanging.
 func TestSilentWorkerDoesNotHang(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 17, 2, 1)
-	s.length = func(string) time.Duration { return 6 * time.Second }
-	fill(s, 2)
-	s.owners[0].take()
-	s.after(2*time.Second, func() { s.owners[0].noWorker[0] = true })
-	s.after(5*time.Second, func() { clear(s.owners[0].noWorker) })
-	s.run(quiet)
+	s.duration = func(string) time.Duration { return 6 * time.Second }
+	submitJobs(s, 2)
+	s.owners[0].takeOver()
+	s.after(2*time.Second, func() { s.owners[0].unreachable[0] = true })
+	s.after(5*time.Second, func() { clear(s.owners[0].unreachable) })
+	s.run(settleTime)
 	s.mustComplete(2)
 	for _, w := range s.workers {
-		is.Equal(len(w.barred), int(w.count)) // each run ended once, by itself
-		for _, e := range w.barred {
+		is.Equal(len(w.highestEnded), int(w.endCount)) // each run ended once, by itself
+		for _, e := range w.highestEnded {
 			is.True(e <= firstAttempt) // and no task needed a second attempt
 		}
 	}
 }
 
-// Guards against runs paused by the owner before that count as hanging.
+// Guards against runs that the previous owner paused and that count as hanging.
 func TestAdoptedFillingTasksGoOn(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 18, 2, 2)
-	s.length = func(string) time.Duration { return 5 * time.Second }
+	s.duration = func(string) time.Duration { return 5 * time.Second }
 	fills := step(4, 1)
 	fills.Fills = true
 	s.submit(&job.Job{ID: jobID(0), Steps: []job.Step{fills}})
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.run(2 * time.Second)
 	is.Equal(len(s.paces), 0)
-	s.takeover(0, 1)
+	s.replaceOwner(0, 1)
 	s.run(3 * time.Second)
 	is.Equal(len(s.paces), 4)
 	for _, percent := range s.paces {
@@ -431,23 +433,23 @@
 	}
 }
 
-// Guards against a store that fills up with jobs of long ago, or such jobs running again.
+// Guards against a store that fills up with old jobs, and against old jobs that run again.
 func TestOldJobsAreForgotten(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 400+seed, 3, 2)
-			fill(s, 6)
-			s.owners[0].take()
+			submitJobs(s, 6)
+			s.owners[0].takeOver()
 			s.run(9*time.Minute + 55*time.Second)
-			s.relay(600, time.Duration(37+3*seed)*time.Millisecond)
+			s.alternateOwners(600, time.Duration(37+3*seed)*time.Millisecond)
 			s.run(12 * time.Minute)
-			is.Equal(s.broken, nil)
+			is.Equal(s.violations, nil)
 			for i := range 6 {
 				is.Equal(s.state(jobID(i)), "unknown")
 			}
-			is.Equal(s.store.fold(t).Len(), 0)
-			is.Equal(len(s.ran), 30) // nothing ran again
+			is.Equal(s.store.readCatalog(t).Len(), 0)
+			is.Equal(len(s.completed), 30) // nothing ran again
 		})
 	}
 }
--- a/cell/colocate.go
+++ b/cell/colocate.go
@@ -8,33 +8,32 @@
 	"github.com/dogwoodladder/dogwoodladder/colocation"
 )
 
-// planEvery is the time between two plans of what stands together. Demand is
-// followed over some seconds.
-const planEvery = 500 * time.Millisecond
+// planInterval is the time between two colocation plans. The demand changes over seconds.
+const planInterval = 500 * time.Millisecond
 
-// demandGain is the share of a new reading of the demand for filling images
-// that is believed, which smooths it over 5 s.
-const demandGain = 0.1
+// demandSmoothing is the weight of a new sample of the demand in its exponential moving
+// average, which smooths it over 5 s.
+const demandSmoothing = 0.1
 
-// planColocation works out anew how scarce the workers are that bear each
-// filling image, and moves what stands in the wrong place.
+// planColocation recomputes how scarce the workers are that tolerate each filling image,
+// and relocates serving tasks that displace filling ones.
 func (c *Cell) planColocation() {
-	if c.plan != nil && c.now-c.plannedAt < planEvery {
+	if c.plan != nil && c.now-c.lastPlanAt < planInterval {
 		return
 	}
-	c.plannedAt = c.now
-	whole := c.usualSize()
-	c.followDemand(whole)
-	c.plan = colocation.New(c.pressure.Weight, c.demand)
+	c.lastPlanAt = c.now
+	meanSize := c.meanProcessors()
+	c.updateDemand(meanSize)
+	c.plan = colocation.New(c.pressure.Weight, c.fillingDemand)
 	for _, w := range c.everyWorker() {
-		w.set = c.plan.Set(slices.Collect(maps.Keys(w.images)))
-		w.set.Count(float64(w.host.Capacity.Processors) / whole)
+		w.imageSet = c.plan.Set(slices.Collect(maps.Keys(w.images)))
+		w.imageSet.Count(float64(w.host.Capacity.Processors) / meanSize)
 	}
 	c.relocate()
 }
 
-// usualSize returns the mean processors of a worker.
-func (c *Cell) usualSize() float64 {
+// meanProcessors returns the mean number of processors of a worker.
+func (c *Cell) meanProcessors() float64 {
 	total := int64(0)
 	for _, w := range c.everyWorker() {
 		total += w.host.Capacity.Processors
@@ -42,40 +41,40 @@
 	return float64(max(1, total)) / float64(max(1, len(c.workers)))
 }
 
-// followDemand takes a reading of the processors that filling images want, in
-// workers.
-func (c *Cell) followDemand(whole float64) {
-	wanted := make(map[string]float64, len(c.demand))
-	for _, s := range c.waiting {
+// updateDemand samples the processors that each filling image's waiting and running tasks
+// ask for, in multiples of a worker of mean size, into the moving average.
+func (c *Cell) updateDemand(meanSize float64) {
+	wanted := make(map[string]float64, len(c.fillingDemand))
+	for _, s := range c.waitingSteps {
 		if s.spec.Fills {
-			wanted[s.spec.Image] += float64(int64(len(s.ready))*s.spec.Need.Processors) / whole
+			wanted[s.spec.Image] += float64(int64(len(s.ready))*s.spec.Need.Processors) / meanSize
 		}
 	}
 	for _, w := range c.everyWorker() {
 		for _, r := range w.runs {
-			if r.fills() {
-				wanted[r.task.step.spec.Image] += float64(r.task.step.spec.Need.Processors) / whole
+			if r.isFilling() {
+				wanted[r.task.step.spec.Image] += float64(r.task.step.spec.Need.Processors) / meanSize
 			}
 		}
 	}
 	for f := range wanted {
-		c.demand[f] += 0
+		c.fillingDemand[f] += 0
 	}
-	for f, d := range c.demand {
-		c.demand[f] = d + demandGain*(wanted[f]-d)
-		if c.demand[f] < leastDemand {
-			delete(c.demand, f)
+	for f, d := range c.fillingDemand {
+		c.fillingDemand[f] = d + demandSmoothing*(wanted[f]-d)
+		if c.fillingDemand[f] < minDemand {
+			delete(c.fillingDemand, f)
 		}
 	}
 }
 
-// leastDemand is the demand, in workers, below which an image is forgotten.
-const leastDemand = 0.01
+// minDemand is the demand, in workers, below which an image is dropped.
+const minDemand = 0.01
 
-// imagesOf returns what is known of a worker's serving images together.
-func (c *Cell) imagesOf(w *worker) *colocation.Set {
-	if w.set == nil {
-		w.set = c.plan.Set(slices.Collect(maps.Keys(w.images)))
+// imageSet returns the colocation data of the worker's set of serving images.
+func (c *Cell) imageSet(w *worker) *colocation.Set {
+	if w.imageSet == nil {
+		w.imageSet = c.plan.Set(slices.Collect(maps.Keys(w.images)))
 	}
-	return w.set
+	return w.imageSet
 }
--- a/cell/cordon_test.go
+++ b/cell/cordon_test.go
@@ -28,8 +28,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 1, 6, 2)
-			s.failing = func(_ string, attempt uint64) bool { return attempt%3 == 0 }
-			s.owners[0].take()
+			s.failsTask = func(_ string, attempt uint64) bool { return attempt%3 == 0 }
+			s.owners[0].takeOver()
 			for i := range 40 {
 				j := &job.Job{ID: jobID(i), Spec: "x", Steps: []job.Step{step(2, 1)}}
 				tt.edit(&j.Steps[0])
@@ -38,34 +38,35 @@
 			s.after(cordonedAt, func() { s.cordoned = []string{"z0"} })
 			s.after(openedAt, func() { s.cordoned = nil })
 			if tt.takeover > 0 {
-				s.after(tt.takeover, func() { s.takeover(0, 1) })
+				s.after(tt.takeover, func() { s.replaceOwner(0, 1) })
 			}
 			reopened := 0
 			for _, o := range s.owners {
-				o.started = func(order provider.StartOrder) {
+				o.onStart = func(order provider.StartOrder) {
 					if s.now > openedAt && order.Host.AvailabilityZone == "z0" {
 						reopened++
 					}
 				}
 			}
 			s.run(20 * time.Second)
-			is.Equal(s.broken, nil)
+			is.Equal(s.violations, nil)
 			is.True(reopened > 0)
 		})
 	}
 }
 
-// Guards against a cordon that is lost, or kept, through faults and takeovers.
+// Guards against a cordon that is lost, or kept for too long, through faults and
+// takeovers.
 func TestRandomSchedulesWithCordons(t *testing.T) {
-	eachSeed(t, schedules/3, func(t *testing.T, seed uint64) {
+	forEachSeed(t, scheduleSeeds/3, func(t *testing.T, seed uint64) {
 		s := newSite(t, 3100+seed, scheduleHosts, 3)
-		s.failing = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
+		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		for range 4 {
-			at := time.Duration(s.rng.Int64N(int64(scheduleFor)))
+			at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
 			zones := [][]string{{"z0"}, {"z1"}, {"z0", "z1"}, nil}[s.rng.IntN(4)]
 			s.after(at, func() { s.cordoned = zones })
 		}
-		s.after(scheduleFor, func() { s.cordoned = nil })
+		s.after(scheduleLength, func() { s.cordoned = nil })
 		s.playSchedule()
 	})
 }
--- a/cell/correlate.go
+++ b/cell/correlate.go
@@ -7,86 +7,89 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Which workers went down at one moment tells whether what had just been started on one
-// of them is to blame.
+// Workers that went down at the same moment suggest a shared cause, such as a power
+// failure of a rack, rather than a task that had just been started on one of them.
 const (
-	// rackFailures is how many workers with a label in common have to go down beside
-	// one of them, and half of all that have it, for the cause to be one that they
-	// share: a rack without power.
-	rackFailures = 3
-	// poolFailures is the same for half of a pool. It is larger, as a small pool has
-	// that many tasks of the kind that crash their workers at a time.
-	poolFailures = 6
-	// downFor is how long a worker that was lost is compared with others. The loss
-	// of those that went at the same moment is noticed within a hold's time-out.
-	downFor = 4 * time.Second
+	// minRackFailures is how many other workers that share a label with a failed one have
+	// to go down with it for the failure to count as correlated, such as a rack without
+	// power. They also have to be at least half of all workers with that label.
+	minRackFailures = 3
+	// minPoolFailures is the same for half of a pool. It is larger than minRackFailures,
+	// because in a small pool that many tasks that crash their workers may run at the same
+	// time.
+	minPoolFailures = 6
+	// correlationWindow is how long a lost worker is compared with others. The loss of
+	// workers that went down at the same moment is noticed within the timeout of a hold.
+	correlationWindow = 4 * time.Second
 )
 
-// span is the time in which a worker that is silent may have crashed.
-type span struct {
+// crashSpan is the time span in which a silent worker may have crashed.
+type crashSpan struct {
 	from, to time.Duration
 }
 
 // overlaps reports whether two workers may have crashed at the same moment.
-func (s span) overlaps(other span) bool {
+func (s crashSpan) overlaps(other crashSpan) bool {
 	return s.from <= other.to && other.from <= s.to
 }
 
-// downSpan returns when a worker that is lost, or may be, has crashed.
-func (c *Cell) downSpan(w *worker) span {
-	if w.misses == 0 {
-		return span{from: w.heard, to: c.now}
+// crashSpanOf returns the span in which a worker that is lost, or may be, crashed.
+func (c *Cell) crashSpanOf(w *worker) crashSpan {
+	if w.missedHolds == 0 {
+		return crashSpan{from: w.lastContact, to: c.now}
 	}
-	return span{from: w.heard, to: w.silent}
+	return crashSpan{from: w.lastContact, to: w.silentSince}
 }
 
-// failure is what is known of the moment at which a worker went down.
-type failure struct {
-	others     int  // workers that may have gone down at the same moment, without a trial
-	correlated bool // their cause is one that they share
+// workerFailure describes how the failure of a worker relates to failures of others.
+type workerFailure struct {
+	simultaneous int  // other workers without a trial that may have gone down at the same moment
+	correlated   bool // they share a cause
 }
 
-// failureOf returns what is known of the moment at which a worker went down.
-func (c *Cell) failureOf(w *worker) failure {
-	others := c.failedWith(w)
-	return failure{others: len(others), correlated: c.correlated(w, others)}
+// classifyFailure relates the failure of a worker to those of others.
+func (c *Cell) classifyFailure(w *worker) workerFailure {
+	others := c.simultaneousFailures(w)
+	return workerFailure{simultaneous: len(others), correlated: c.isCorrelated(w, others)}
 }
 
-// place returns what a worker is counted by: several of its incarnations are one worker.
-func (w *worker) place() string {
+// machineKey returns the key that a worker is counted by, so that several incarnations on
+// one machine count as one worker.
+func (w *worker) machineKey() string {
 	return cmp.Or(w.host.Machine, w.host.ID)
 }
 
-// failedWith returns the other workers that may have gone down at the same moment as
-// this one, by place, leaving out those with a trial of their own.
-func (c *Cell) failedWith(w *worker) map[string]*worker {
-	span := c.downSpan(w)
+// simultaneousFailures returns the other workers that may have gone down at the same
+// moment, by machine key. Workers with a trial are left out, as the trial explains their
+// failure.
+func (c *Cell) simultaneousFailures(w *worker) map[string]*worker {
+	span := c.crashSpanOf(w)
 	others := make(map[string]*worker)
-	for other, at := range c.down {
+	for other, at := range c.recentlyDown {
 		if at.overlaps(span) {
-			others[other.place()] = other
+			others[other.machineKey()] = other
 		}
 	}
 	for _, other := range c.everyWorker() {
-		if _, noted := c.down[other]; noted {
+		if _, recorded := c.recentlyDown[other]; recorded {
 			continue
 		}
-		if other.mayExplain() && other.misses > 0 && c.downSpan(other).overlaps(span) {
-			others[other.place()] = other
+		if other.isIndependent() && other.missedHolds > 0 && c.crashSpanOf(other).overlaps(span) {
+			others[other.machineKey()] = other
 		}
 	}
-	delete(others, w.place())
+	delete(others, w.machineKey())
 	return others
 }
 
-// correlated reports whether what took a worker down took its like, too. Which label
-// is that of a rack isn't said, so any may be: half of all workers of a kind don't go
-// at one moment by chance either.
-func (c *Cell) correlated(w *worker, others map[string]*worker) bool {
-	if len(others) < rackFailures {
+// isCorrelated reports whether a worker went down together with others that share a label
+// or its pool. Any label may stand for a rack, as the platform doesn't say which one does;
+// half of all workers with some other label don't fail at one moment by chance either.
+func (c *Cell) isCorrelated(w *worker, others map[string]*worker) bool {
+	if len(others) < minRackFailures {
 		return false
 	}
-	if len(others) >= poolFailures && 2*len(others) >= len(c.pools[w.host.Service]) {
+	if len(others) >= minPoolFailures && 2*len(others) >= len(c.pools[w.host.Service]) {
 		return true
 	}
 	for _, label := range w.host.Labels {
@@ -96,55 +99,55 @@
 				down++
 			}
 		}
-		if down >= rackFailures && down >= c.stillUp(w, label, others) {
+		if down >= minRackFailures && down >= c.countSurvivors(w, label, others) {
 			return true
 		}
 	}
 	return false
 }
 
-// stillUp returns how many workers with a label go on, but for one and those that went
-// down with it.
-func (c *Cell) stillUp(w *worker, label string, others map[string]*worker) int {
+// countSurvivors returns how many workers with a label are still up, apart from the given
+// one and those that went down with it.
+func (c *Cell) countSurvivors(w *worker, label string, others map[string]*worker) int {
 	n := 0
 	for _, other := range c.pools[w.host.Service] {
-		if other.place() != w.place() && other.asked && others[other.place()] == nil && other.host.HasLabel(label) {
+		if other.machineKey() != w.machineKey() && other.answered && others[other.machineKey()] == nil && other.host.HasLabel(label) {
 			n++
 		}
 	}
 	return n
 }
 
-// mayExplain reports whether the end of a worker tells of a cause beside the tasks
-// that are tried. One that never answered may have been over before, with its entry
-// still on the list.
-func (w *worker) mayExplain() bool {
-	return w.asked && w.trial == nil
+// isIndependent reports whether the failure of a worker is evidence of a cause other than
+// a task on trial. A worker that never answered doesn't count: it may have been down
+// already, with a stale entry on the list.
+func (w *worker) isIndependent() bool {
+	return w.answered && w.trialJob == nil
 }
 
-// noteDown remembers a worker that went down without a trial.
-func (c *Cell) noteDown(w *worker, at span) {
-	if w.mayExplain() {
-		c.down[w] = at
+// recordDown remembers when a worker without a trial went down.
+func (c *Cell) recordDown(w *worker, at crashSpan) {
+	if w.isIndependent() {
+		c.recentlyDown[w] = at
 	}
 }
 
-// forgetDown forgets those that went down long ago.
-func (c *Cell) forgetDown() {
-	for w, at := range c.down {
-		if c.now-at.to > downFor {
-			delete(c.down, w)
+// expireDown drops failures that are older than correlationWindow.
+func (c *Cell) expireDown() {
+	for w, at := range c.recentlyDown {
+		if c.now-at.to > correlationWindow {
+			delete(c.recentlyDown, w)
 		}
 	}
 }
 
-// noteMachinesDown remembers the workers that the list of machines says are down and that
-// haven't been missed yet: they may have gone with those that were.
-func (c *Cell) noteMachinesDown(in MachineList, by map[string]*provider.Machine) {
+// recordMachinesDown records workers that the list of machines reports as down before a
+// hold to them has failed: they may have gone down together with those already missed.
+func (c *Cell) recordMachinesDown(in MachineList, byMachine map[string]*provider.Machine) {
 	for _, w := range c.everyWorker() {
-		m := by[w.host.Machine]
-		if w.misses == 0 && w.heard < in.Sent && m != nil && whyDown(w, m) != "" {
-			c.noteDown(w, span{from: w.heard, to: in.Sent})
+		m := byMachine[w.host.Machine]
+		if w.missedHolds == 0 && w.lastContact < in.Sent && m != nil && downReason(w, m) != "" {
+			c.recordDown(w, crashSpan{from: w.lastContact, to: in.Sent})
 		}
 	}
 }
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -8,284 +8,289 @@
 	"github.com/dogwoodladder/dogwoodladder/progress"
 )
 
-// Package crash says what is done about tasks that crash their workers; here is what
-// the owner sees of them, and where their trials go.
+// Package crash decides what is done about tasks that crash their workers. This file
+// detects such crashes and places the trials of suspect tasks.
 const (
-	// soundAfter is how long a worker has to go on after a task began on it until
-	// the task counts as one that doesn't crash it. It is well above the time that
-	// a crash takes on a worker that is slow.
-	soundAfter = 300 * time.Millisecond
-	// trialWait is how long a worker with a trial may keep a hold, so that the
-	// trial's good end frees the worker for other starts.
-	trialWait = 100 * time.Millisecond
-	// recordAtOnce is how many starts of a step wait for their record at once, so
-	// that the record of a wide step stays small.
-	recordAtOnce = 64
+	// crashWindow is how long a worker has to stay up after a task began on it until the
+	// task counts as one that doesn't crash it. It is well above the time that a crash
+	// takes on a slow worker.
+	crashWindow = 300 * time.Millisecond
+	// trialHoldWait is how long a worker with a trial may delay the answer to a hold. It
+	// is short, so that a successful trial frees the worker for other starts soon.
+	trialHoldWait = 100 * time.Millisecond
+	// maxUnrecordedStarts is how many starts of a step may wait for their record in one
+	// pass, so that the record of a wide step stays small.
+	maxUnrecordedStarts = 64
 )
 
-// justStarted reports whether the worker hasn't been seen going on for long enough
-// since a run began. All times are on the worker's clock: by ours, answers that were
-// held up on a full link would make a run look older than it was.
+// justStarted reports whether the run began so recently that a crash of its worker may be
+// its fault. All times are on the worker's clock: by the owner's clock, answers that are
+// delayed on a congested link would make a run look older than it was.
 func (r *run) justStarted() bool {
-	return r.begunClock == 0 || r.listedClock-r.begunClock < soundAfter.Milliseconds()
+	return r.startedClock == 0 || r.lastListedClock-r.startedClock < crashWindow.Milliseconds()
 }
 
-// seenBegun takes note that a run has begun by a time of its worker's clock.
-func (r *run) seenBegun(clock int64) {
-	if r.begunClock == 0 {
-		r.begunClock = clock
+// recordStarted records that the run had begun by a time on its worker's clock.
+func (r *run) recordStarted(clock int64) {
+	if r.startedClock == 0 {
+		r.startedClock = clock
 	}
 }
 
-// listed takes note that a report of its worker shows a run.
-func (r *run) listed(clock int64) {
-	r.seenBegun(clock)
-	r.listedClock = clock
+// recordListed records that a report of the worker, made at the given time on its clock,
+// lists the run.
+func (r *run) recordListed(clock int64) {
+	r.recordStarted(clock)
+	r.lastListedClock = clock
 }
 
-// setCrashes records what is known of the workers that crashed under a task.
+// setCrashes stores the crash history of a task with its job's progress.
 func (c *Cell) setCrashes(t *task, h crash.History) {
 	j := t.step.job
 	j.progress.SetCrashes(t.id, h)
 	t.suspect = h.Suspect()
-	c.saves.dirty(j)
+	c.writer.markDirty(j)
 }
 
-// restoreCrashes takes over what is on record of a task. What became of a start of an
-// earlier owner is known once the workers are surveyed.
+// restoreCrashes restores the task's crash history from the record. The outcome of a start
+// by an earlier owner is known once the workers are surveyed.
 func (t *task) restoreCrashes() {
 	h := t.step.job.progress.Crashes(t.id)
 	t.suspect = h.Suspect()
-	if h.Trying {
-		t.step.inherited = append(t.step.inherited, t)
+	if h.StartPending {
+		t.step.inheritedStarts = append(t.step.inheritedStarts, t)
 	}
 }
 
-// endInherited ends the starts of an earlier owner that are on record and of which
-// nothing is found. Where the worker is there, or another one was meant, the owner
-// didn't come to order them.
-func (c *Cell) endInherited(s *stepState) {
-	inherited := s.inherited
-	s.inherited = nil
+// resolveInheritedStarts resolves the recorded starts of an earlier owner for which no
+// worker lists a run. If the recorded worker may have crashed, the start counts as a
+// crash. Otherwise the earlier owner was replaced before it sent the order.
+func (c *Cell) resolveInheritedStarts(s *stepState) {
+	inherited := s.inheritedStarts
+	s.inheritedStarts = nil
 	for _, t := range inherited {
 		h := s.job.progress.Crashes(t.id)
-		if t.done || t.run != nil || !h.Trying || t.startChange > 0 {
+		if t.done || t.run != nil || !h.StartPending || t.startChange > 0 {
 			continue
 		}
-		if c.survey.mayHaveCrashed(h.Host) {
-			c.note("start vanished", "task", t.name, "worker", h.Host, "crashes", h.Crashes+1)
-			h.Vanished()
+		if c.survey.mayHaveCrashed(h.Incarnation) {
+			c.logEvent("start vanished", "task", t.name, "worker", h.Incarnation, "crashes", h.Crashes+1)
+			h.ResolveCrashedStart()
 		} else {
-			h.Untried()
+			h.RetractStart()
 		}
 		c.setCrashes(t, h)
-		c.judgeTask(t, &h)
+		c.failIfCrashing(t, &h)
 	}
 }
 
-// mustRecord reports whether a task's start has to be on record before it is ordered:
-// it has crashed a worker, or may have.
-func (c *Cell) mustRecord(t *task) bool {
-	return t.suspect || t.unsure || t.step.job.unsure && t.attempt < c.firstAttempt()
+// needsRecordedStart reports whether a task's start has to be on record before it is
+// ordered, because the task crashed a worker or may have crashed one.
+func (c *Cell) needsRecordedStart(t *task) bool {
+	return t.suspect || t.unresolved || t.step.job.mayHaveCrashed && t.attempt < c.firstAttempt()
 }
 
-// recorded reports whether that is done.
-func (t *task) recorded() bool {
-	return t.startChange > 0 && t.step.job.written >= t.startChange
+// isStartRecorded reports whether the task's next start is on record.
+func (t *task) isStartRecorded() bool {
+	return t.startChange > 0 && t.step.job.savedChanges >= t.startChange
 }
 
-// record puts a task's start on record.
-func (c *Cell) record(t *task, incarnation string) {
+// recordStart puts a task's next start on record.
+func (c *Cell) recordStart(t *task, incarnation string) {
 	j := t.step.job
 	h := j.progress.Crashes(t.id)
-	h.Try(incarnation)
+	h.RecordStart(incarnation)
 	c.setCrashes(t, h)
-	t.startChange = j.changes
-	j.startChange = j.changes
+	t.startChange = j.changeCount
+	j.lastStartChange = j.changeCount
 }
 
-// recordFor puts a task's start on a worker on record, and keeps room for it there
-// until that is done. See startKept.
-func (c *Cell) recordFor(t *task, w *worker) {
-	c.record(t, w.incarnation())
-	c.keepRoom(t, w)
+// reserveAndRecord puts a task's start on a worker on record and reserves capacity there
+// until the record is written. See startReserved.
+func (c *Cell) reserveAndRecord(t *task, w *worker) {
+	c.recordStart(t, w.incarnation())
+	c.reserve(t, w)
 	if t.suspect {
-		t.kept.trial = true
+		t.reservation.trial = true
 		w.beginTrial(t.step.job)
 	}
 }
 
-// recordAll puts the starts of a gang on record with one write, and reports whether
-// that is done. Where the members go is decided when they are started, as it has to
-// fit for all of them.
-func (c *Cell) recordAll(members []*task) bool {
+// recordGangStarts puts the starts of a gang on record with one write, and reports whether
+// that is done. The members' workers are chosen when they are started, as there has to be
+// capacity for all of them at the same time.
+func (c *Cell) recordGangStarts(members []*task) bool {
 	done := true
 	for _, t := range members {
-		if !c.mustRecord(t) || t.recorded() {
+		if !c.needsRecordedStart(t) || t.isStartRecorded() {
 			continue
 		}
 		done = false
 		if t.startChange == 0 {
-			c.record(t, "")
+			c.recordStart(t, "")
 		}
 	}
 	return done
 }
 
-// quietFor reports whether a worker can take a trial of a job: no task of another one
-// has just been started there.
-func (w *worker) quietFor(j *jobState, now time.Duration) bool {
-	return w.startedJob == j || now-w.startedAt >= soundAfter
+// canTakeTrial reports whether a trial of the job may start on the worker: no task of
+// another job has just been started there.
+func (w *worker) canTakeTrial(j *jobState, now time.Duration) bool {
+	return w.lastStartJob == j || now-w.lastStartAt >= crashWindow
 }
 
-// beginTrial keeps starts of other jobs off a worker while one of this one is settled.
+// beginTrial keeps starts of other jobs off the worker while a trial of this job runs.
 func (w *worker) beginTrial(j *jobState) {
-	w.trials++
-	w.trial = j
+	w.trialCount++
+	w.trialJob = j
 }
 
-// endTrial takes note that it is.
+// endTrial ends one trial. Starts of other jobs are allowed again after the last one.
 func (w *worker) endTrial() {
-	if w.trials--; w.trials == 0 {
-		w.trial = nil
+	if w.trialCount--; w.trialCount == 0 {
+		w.trialJob = nil
 	}
 }
 
-// try has a run show whether its task crashes workers.
-func (r *run) try() {
+// beginTrial makes the run a trial, which shows whether its task crashes workers.
+func (r *run) beginTrial() {
 	r.trial = true
 	r.worker.beginTrial(r.task.step.job)
 }
 
-// adoptTrial takes up a run that an earlier owner started. It was there when the
-// worker was asked, so it doesn't count as just started, unless it is a trial.
+// adoptTrial restores the crash state of a run that an earlier owner started. The worker
+// listed it when it was asked, so it doesn't count as just started unless its task is
+// watched.
 func (c *Cell) adoptTrial(r *run) {
 	t := r.task
-	c.seenAlive(t, r.attempt)
+	c.retractCrash(t, r.attempt)
 	h := t.step.job.progress.Crashes(t.id)
-	t.unsure = h.Trying
+	t.unresolved = h.StartPending
 	if t.suspect {
-		r.try()
+		r.beginTrial()
 	}
-	if t.watched() {
+	if t.isWatched() {
 		return
 	}
-	r.begunClock = r.worker.clock - soundAfter.Milliseconds()
+	r.startedClock = r.worker.clock - crashWindow.Milliseconds()
 }
 
-// settle takes note that a run has shown it, or is over.
-func (r *run) settle() {
+// endTrial ends the run's trial, if it is one.
+func (r *run) endTrial() {
 	if r.trial {
 		r.trial = false
 		r.worker.endTrial()
 	}
 }
 
-// checkTrial ends a trial that has gone well: its task is no suspect any more.
+// checkTrial clears the suspicion against a run's task once its worker has stayed up for
+// long enough.
 func (c *Cell) checkTrial(r *run) {
-	if r.task == nil || !r.task.watched() || r.justStarted() {
+	if r.task == nil || !r.task.isWatched() || r.justStarted() {
 		return
 	}
 	if r.trial {
-		r.settle()
-		c.touch(r.worker)
+		r.endTrial()
+		c.markChanged(r.worker)
 	}
-	c.clear(r.task, r.attempt)
+	c.clearSuspicion(r.task, r.attempt)
 }
 
-// watched reports whether what becomes of a task's start matters.
-func (t *task) watched() bool {
-	return t.suspect || t.unsure || t.startChange > 0
+// isWatched reports whether the outcome of the task's start has to be tracked.
+func (t *task) isWatched() bool {
+	return t.suspect || t.unresolved || t.startChange > 0
 }
 
-// clear ends the suspicion against a task whose worker went on, or listed its end.
-func (c *Cell) clear(t *task, attempt uint64) {
-	if !t.watched() {
+// clearSuspicion resets the crash history of a task whose worker stayed up, or listed the
+// end of the run.
+func (c *Cell) clearSuspicion(t *task, attempt uint64) {
+	if !t.isWatched() {
 		return
 	}
 	t.startChange = 0
-	t.unsure = false
+	t.unresolved = false
 	if t.step.job.progress.Crashes(t.id) == (crash.History{}) {
 		return
 	}
 	if t.suspect {
-		c.note("cleared", "task", t.name, "attempt", attempt)
+		c.logEvent("cleared", "task", t.name, "attempt", attempt)
 	}
 	c.setCrashes(t, crash.History{})
 }
 
-// doubtOld has the first starts of tasks that an earlier owner may have started put
-// on record, if the survey found workers that had crashed, or that of an owner not long
-// before: what was started there last left no trace. Without it a task is started once
-// more for each owner that is killed while a worker crashes under it.
-func (c *Cell) doubtOld() {
+// markUnresolvedStarts makes the first start of each task that an earlier owner may have
+// started go on record first, if the survey or a recent owner found a crashed worker: the
+// last start on such a worker left no trace. Without this a task that crashes its worker
+// is started once more for each owner that is killed during the crash.
+func (c *Cell) markUnresolvedStarts() {
 	if !c.survey.mayHaveCrashed("") {
 		return
 	}
 	for _, j := range c.jobs {
-		j.unsure = j.old
+		j.mayHaveCrashed = j.inherited
 	}
 }
 
-// seenAlive takes back a crash that wasn't one: the attempt is running, or a worker
-// lists its end.
-func (c *Cell) seenAlive(t *task, attempt uint64) {
+// retractCrash takes back a crash that was counted against an attempt which turned out to
+// be running, or whose end a worker lists.
+func (c *Cell) retractCrash(t *task, attempt uint64) {
 	if !t.suspect || t.step.job.final() {
 		return
 	}
-	counted := t.step.job.progress.Crashes(t.id)
-	h := counted
-	h.Alive(attempt)
-	if h != counted {
+	before := t.step.job.progress.Crashes(t.id)
+	h := before
+	h.RetractCrash(attempt)
+	if h != before {
 		c.setCrashes(t, h)
 	}
 }
 
-// crashed counts a crash of a run's worker against its task if it has just been
-// started there. A start that may never have begun is no trial.
-func (c *Cell) crashed(r *run, f failure) {
+// countCrash counts a crash of a run's worker against its task if the run had just been
+// started there. A start that may never have begun doesn't count as a trial.
+func (c *Cell) countCrash(r *run, f workerFailure) {
 	t := r.task
 	if t == nil || t.step.job.final() || !r.justStarted() {
 		return
 	}
 	h := t.step.job.progress.Crashes(t.id)
-	h.Crashed(r.attempt, f.others == 0 && r.trial && r.begunClock != 0)
+	h.RecordCrash(r.attempt, f.simultaneous == 0 && r.trial && r.startedClock != 0)
 	t.startChange = 0
-	t.unsure = false
-	c.note("crash", "task", t.name, "attempt", r.attempt, "worker", r.worker.host.ID,
-		"trial", r.trial, "others", f.others, "crashes", h.Crashes, "alone", h.Alone)
+	t.unresolved = false
+	c.logEvent("crash", "task", t.name, "attempt", r.attempt, "worker", r.worker.host.ID,
+		"trial", r.trial, "others", f.simultaneous, "crashes", h.Crashes, "alone", h.CrashesInTrials)
 	c.setCrashes(t, h)
-	c.judgeTask(t, &h)
+	c.failIfCrashing(t, &h)
 }
 
-// judgeTask fails the job of a task that crashes its workers.
-func (c *Cell) judgeTask(t *task, h *crash.History) {
+// failIfCrashing fails the job of a task that has crashed too many workers.
+func (c *Cell) failIfCrashing(t *task, h *crash.History) {
 	if !h.GiveUp() || t.step.job.final() {
 		return
 	}
-	c.note("given up", "task", t.name, "crashes", h.Crashes, "alone", h.Alone)
+	c.logEvent("given up", "task", t.name, "crashes", h.Crashes, "alone", h.CrashesInTrials)
 	c.finish(t.step.job, progress.Failed)
 }
 
-// crashAll counts a crash against all that had just been started on a worker.
-func (c *Cell) crashAll(w *worker, f failure) {
+// countCrashes counts a worker's crash against all tasks that had just been started on it,
+// unless the failure is correlated.
+func (c *Cell) countCrashes(w *worker, f workerFailure) {
 	if f.correlated {
 		return
 	}
 	for _, r := range inOrder(w.runs) {
-		c.crashed(r, f)
+		c.countCrash(r, f)
 	}
 }
 
-// noteLost logs the loss of a worker with what tells its cause: the tasks that had
-// just been started on it, and whether others went down with it.
-func (c *Cell) noteLost(w *worker, reason string, f failure) {
+// logWorkerLost logs the loss of a worker with hints at its cause: the tasks that had just
+// been started on it, and whether others went down with it.
+func (c *Cell) logWorkerLost(w *worker, reason string, f workerFailure) {
 	var started []string
 	for name, r := range inOrder(w.runs) {
 		if r.justStarted() {
 			started = append(started, name)
 		}
 	}
-	c.note("worker lost", "worker", w.host.ID, "born", w.born, "reason", reason, "runs", len(w.runs),
-		"silent", c.now-w.heard, "just_started", strings.Join(started, ","), "others", f.others, "correlated", f.correlated)
+	c.logEvent("worker lost", "worker", w.host.ID, "born", w.born, "reason", reason, "runs", len(w.runs),
+		"silent", c.now-w.lastContact, "just_started", strings.Join(started, ","), "others", f.simultaneous, "correlated", f.correlated)
 }
--- a/cell/account.go
+++ b/cell/delays.go
@@ -5,11 +5,11 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// noteEnd logs the end of a job with what held it up, for those who ask later
-// why it was late.
-func (c *Cell) noteEnd(j *jobState) {
-	fields := []any{"job", j.job.ID, "state", j.progress.State.String(), "after", c.now - j.arrived, "kind", j.kind(), "objective", j.objective()}
-	if j.old {
+// logJobEnd logs the end of a job with the causes of its delays, so that an operator can
+// find out later why it was late.
+func (c *Cell) logJobEnd(j *jobState) {
+	fields := []any{"job", j.job.ID, "state", j.progress.State.String(), "after", c.now - j.acceptedAt, "kind", j.kind(), "objective", j.objective()}
+	if j.inherited {
 		fields = append(fields, "taken", true)
 	}
 	for _, cause := range delay.All() {
@@ -17,10 +17,10 @@
 			fields = append(fields, cause.String(), d)
 		}
 	}
-	c.note("job ended", fields...)
+	c.logEvent("job ended", fields...)
 }
 
-// kind tells what sort of work a job is.
+// kind returns the job's kind of work, for the log.
 func (j *jobState) kind() string {
 	if j.job.Lasting() {
 		return "lasting"
@@ -33,15 +33,15 @@
 	return "urgent"
 }
 
-// account puts down what a run that has ended cost its task.
-func (c *Cell) account(r *run, how provider.End) {
+// recordDelays adds the time that an ended run cost its task to the task's delays.
+func (c *Cell) recordDelays(r *run, how provider.End) {
 	d := &r.task.delays
-	ran := c.now - r.began
+	ran := c.now - r.orderedAt
 	switch how {
 	case provider.EndDone:
-		r.slowed += r.belowSpeed(c.now)
-		d.Add(delay.Slowed, r.slowed)
-		d.Add(delay.Longer, ran-r.slowed-r.task.step.spec.Estimate)
+		r.timeLost += r.timeLostSincePace(c.now)
+		d.Add(delay.Slowed, r.timeLost)
+		d.Add(delay.Longer, ran-r.timeLost-r.task.step.spec.Estimate)
 	case provider.EndFailed:
 		d.Add(delay.Failed, ran)
 	case provider.EndStopped:
--- a/cell/dispatch.go
+++ b/cell/dispatch.go
@@ -5,189 +5,187 @@
 	"time"
 )
 
-// A look goes over the steps that wait, the most urgent first, and starts what
-// can be started. What a look costs is bounded: an owner that is busy looking
-// writes no heartbeat, so that another instance takes the cell, finds the same
-// backlog and falls behind in its turn. To check all pairs of a step and a worker at
-// each of 200 looks a second would be millions of checks (TestBacklogCostsLittle).
+// A dispatch pass goes over the waiting steps, the most urgent first, and starts the
+// tasks that fit on a worker. The cost of a pass is bounded: an owner that is busy
+// dispatching writes no heartbeat, so that another instance takes the cell, finds the
+// same backlog and is overloaded as well. Checking all pairs of a step and a worker in
+// each of 200 passes a second would take millions of checks (TestBacklogCostsLittle).
 const (
-	// dispatchGap is the least time between two looks. Under load each of
-	// thousands of reports a second makes a start possible.
-	dispatchGap = 5 * time.Millisecond
-	// lookBudget is how many pairs of a step and a worker one look checks.
-	// Steps that it doesn't reach wait for the next one.
-	lookBudget = 10_000
-	// checkPause is the pause after a look for each pair that it checked. It is ten
-	// times what a check takes, so that looks take a tenth of the time at most.
-	checkPause = time.Microsecond
-	// recheckEvery is how often a step that fits nowhere is checked against all
-	// workers again, as some of what keeps tasks off a worker ends with time
-	// alone.
-	recheckEvery = time.Second
+	// minPassGap is the minimum time between two passes. Under load, each of thousands of
+	// reports a second makes a start possible.
+	minPassGap = 5 * time.Millisecond
+	// maxChecksPerPass is how many pairs of a step and a worker one pass checks. Steps
+	// that it doesn't reach wait for the next pass.
+	maxChecksPerPass = 10_000
+	// gapPerCheck is the pause after a pass for each pair that it checked. It is ten times
+	// the duration of a check, so that passes take at most a tenth of the time.
+	gapPerCheck = time.Microsecond
+	// recheckInterval is how often a step that fits nowhere is checked against all workers
+	// again, because some obstacles to a start end with time alone.
+	recheckInterval = time.Second
 )
 
-// looks is the state of the looks for starts.
-type looks struct {
-	number uint64        // of the current look, from 1
-	last   time.Duration // when it was
-	pause  time.Duration // least time until the next one
-	checks int           // pairs checked in it
-	total  uint64        // pairs checked in all looks
-	pools  map[string]*pool
-	found  []candidate // reused
+// passState is the state of the dispatch passes.
+type passState struct {
+	current     uint64        // number of the current pass, from 1
+	lastAt      time.Duration // when the current pass began
+	minGap      time.Duration // minimum time until the next pass
+	checks      int           // pairs checked in the current pass
+	totalChecks uint64        // pairs checked in all passes
+	pools       map[string]*pool
+	buffer      []candidate // reused for candidates
 }
 
-// pool is the workers of a service that may get tasks, as a look sees them.
+// pool holds the workers of a service that may get tasks, for one pass.
 type pool struct {
-	usable []*worker
-	fresh  []*worker // those that have changed since the look before
+	usable  []*worker
+	changed []*worker // those that have changed since the previous pass
 }
 
-// dispatch looks for starts. A step whose next task fits nowhere doesn't hold
-// up the ones after it.
+// dispatch runs a dispatch pass. A step whose next task fits nowhere doesn't hold up the
+// steps after it.
 func (c *Cell) dispatch() {
-	l := &c.looks
-	l.last = c.now
-	l.number++
-	l.checks = 0
-	if !c.mayOrder() || !c.trustsList() {
+	passes := &c.passes
+	passes.lastAt = c.now
+	passes.current++
+	passes.checks = 0
+	if !c.canOrder() || !c.checkListFresh() {
 		return
 	}
-	c.orderSteps()
-	c.findUsable()
+	c.sortWaiting()
+	c.refreshUsable()
 	c.planColocation()
-	for _, s := range c.waiting {
-		if l.checks >= lookBudget || c.flow.full() {
-			c.changed = true
+	for _, s := range c.waitingSteps {
+		if passes.checks >= maxChecksPerPass || c.startLimiter.full() {
+			c.needsDispatch = true
 			break
 		}
 		c.dispatchStep(s)
 	}
-	c.gauge.Looked(c.now, c.flow.full())
-	c.dropServed()
-	l.total += uint64(l.checks)
-	l.pause = max(dispatchGap, time.Duration(l.checks)*checkPause)
+	c.overloadGauge.Looked(c.now, c.startLimiter.full())
+	c.dropEmptySteps()
+	passes.totalChecks += uint64(passes.checks)
+	passes.minGap = max(minPassGap, time.Duration(passes.checks)*gapPerCheck)
 }
 
-// dropServed drops the steps of which no task waits any more.
-func (c *Cell) dropServed() {
-	c.waiting = slices.DeleteFunc(c.waiting, func(s *stepState) bool {
+// dropEmptySteps drops the steps without waiting tasks.
+func (c *Cell) dropEmptySteps() {
+	c.waitingSteps = slices.DeleteFunc(c.waitingSteps, func(s *stepState) bool {
 		s.queued = len(s.ready) > 0
 		return !s.queued
 	})
 }
 
-// findUsable collects the workers that may get tasks, for this look.
-func (c *Cell) findUsable() {
+// refreshUsable collects the workers that may get tasks in this pass.
+func (c *Cell) refreshUsable() {
 	for service, workers := range c.pools {
-		p := c.looks.pools[service]
+		p := c.passes.pools[service]
 		if p == nil {
 			p = &pool{}
-			c.looks.pools[service] = p
+			c.passes.pools[service] = p
 		}
 		p.usable = p.usable[:0]
-		p.fresh = p.fresh[:0]
+		p.changed = p.changed[:0]
 		for _, w := range workers {
-			usable := c.usable(w)
-			if w.touched || usable && !w.wasUsable {
-				w.changed = c.looks.number
+			usable := c.isUsable(w)
+			if w.changedSincePass || usable && !w.wasUsable {
+				w.changedInPass = c.passes.current
 			}
-			w.touched = false
+			w.changedSincePass = false
 			w.wasUsable = usable
 			if !usable {
 				continue
 			}
 			p.usable = append(p.usable, w)
-			if w.changed == c.looks.number {
-				p.fresh = append(p.fresh, w)
+			if w.changedInPass == c.passes.current {
+				p.changed = append(p.changed, w)
 			}
 		}
 	}
 }
 
-// touch takes note that a worker may have room that it didn't have before.
-func (c *Cell) touch(w *worker) {
-	w.touched = true
-	c.changed = true
+// markChanged records that a worker may have free capacity that it didn't have before.
+func (c *Cell) markChanged(w *worker) {
+	w.changedSincePass = true
+	c.needsDispatch = true
 }
 
-// dispatchStep starts a step's tasks while workers are found for them.
+// dispatchStep starts a step's waiting tasks as long as workers are found for them.
 func (c *Cell) dispatchStep(s *stepState) {
 	j := s.job
-	if len(s.ready) == 0 || j.final() || !c.mayStart(j) || c.claiming(j) {
+	if len(s.ready) == 0 || j.final() || !c.canStart(j) || c.isClaimPending(j) {
 		return
 	}
-	c.endInherited(s)
-	if j.final() || s.spec.Gang && len(s.ready) < s.left {
+	c.resolveInheritedStarts(s)
+	if j.final() || s.spec.Gang && len(s.ready) < s.tasksLeft {
 		return
 	}
-	c.startKept(s)
+	c.startReserved(s)
 	if len(s.ready) == 0 {
 		return
 	}
 	found := c.candidates(s)
 	if len(found) == 0 {
-		c.fitsNowhere(s)
+		c.recordNoFit(s)
 		return
 	}
 	if s.spec.Gang {
 		c.dispatchGang(s)
 		return
 	}
-	if !c.claim(j) {
+	if !c.ensureClaimed(j) {
 		return
 	}
 	if c.startReady(s, found) == 0 {
-		c.fitsNowhere(s)
+		c.recordNoFit(s)
 	}
 }
 
-// startReady starts tasks on the candidates until either are used up. It
-// returns how many candidates are left.
+// startReady starts waiting tasks on the candidates until it runs out of either. It
+// returns the number of candidates that are left.
 func (c *Cell) startReady(s *stepState, found []candidate) int {
-	kept := s.ready[:0]
+	remaining := s.ready[:0]
 	unrecorded := 0
 	for i, t := range s.ready {
-		if len(found) == 0 || c.flow.full() || unrecorded >= recordAtOnce {
-			kept = append(kept, s.ready[i:]...)
+		if len(found) == 0 || c.startLimiter.full() || unrecorded >= maxUnrecordedStarts {
+			remaining = append(remaining, s.ready[i:]...)
 			break
 		}
 		k := -1
-		if t.kept == nil {
-			k = best(found, t, c.now)
+		if t.reservation == nil {
+			k = bestCandidate(found, t, c.now)
 		}
 		if k < 0 {
-			kept = append(kept, t) // it has room elsewhere, or was on each of them
+			remaining = append(remaining, t) // it has a reservation, or can't run on any candidate
 			continue
 		}
 		w := found[k].worker
-		if c.mustRecord(t) {
-			c.recordFor(t, w)
+		if c.needsRecordedStart(t) {
+			c.reserveAndRecord(t, w)
 			unrecorded++
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		} else {
 			c.startRun(t, w, c.nextAttempt(t))
 		}
-		c.looks.checks++
+		c.passes.checks++
 		if c.fits(s, w) {
-			found[k].score = c.scoreOf(s, w)
+			found[k].score = c.placementScore(s, w)
 		} else {
 			found = slices.Delete(found, k, k+1)
 		}
 	}
-	clear(s.ready[len(kept):])
-	s.ready = kept
+	clear(s.ready[len(remaining):])
+	s.ready = remaining
 	return len(found)
 }
 
-// fitsNowhere takes note that no worker of this look, nor of the ones before
-// it, takes a further task of the step.
-func (c *Cell) fitsNowhere(s *stepState) {
-	if s.tried == 0 || c.now-s.triedAt >= recheckEvery {
-		s.triedAt = c.now
+// recordNoFit records that no worker in this pass can take another task of the step.
+func (c *Cell) recordNoFit(s *stepState) {
+	if s.lastFailedPass == 0 || c.now-s.lastFullCheckAt >= recheckInterval {
+		s.lastFullCheckAt = c.now
 	}
-	s.tried = c.looks.number
-	c.ask(s)
+	s.lastFailedPass = c.passes.current
+	c.requestAdvice(s)
 }
 
 // candidate is a worker that a step's tasks fit on.
@@ -196,87 +194,88 @@
 	score  float64
 }
 
-// candidates returns the workers that a step's tasks fit on. Workers that
-// didn't fit at an earlier look and haven't changed since are passed over.
+// candidates returns the workers that a step's tasks fit on. Workers that didn't fit in an
+// earlier pass and haven't changed since are skipped.
 func (c *Cell) candidates(s *stepState) []candidate {
-	l := &c.looks
-	p := l.pools[s.job.terms.Service]
+	passes := &c.passes
+	p := passes.pools[s.job.terms.Service]
 	if p == nil {
 		return nil
 	}
-	whole := s.tried == 0 || c.now-s.triedAt >= recheckEvery
-	if s.spec.Gang && len(p.fresh) > 0 {
-		whole = true // any worker may be the one that was missing
+	checkAll := s.lastFailedPass == 0 || c.now-s.lastFullCheckAt >= recheckInterval
+	if s.spec.Gang && len(p.changed) > 0 {
+		checkAll = true // any changed worker may complete the set for the gang
 	}
 	workers := p.usable
-	if !whole && s.tried == l.number-1 {
-		workers = p.fresh
+	if !checkAll && s.lastFailedPass == passes.current-1 {
+		workers = p.changed
 	}
-	found := l.found[:0]
+	found := passes.buffer[:0]
 	for _, w := range workers {
-		if !whole && w.changed <= s.tried {
+		if !checkAll && w.changedInPass <= s.lastFailedPass {
 			continue
 		}
-		l.checks++
+		passes.checks++
 		if c.fits(s, w) {
-			found = append(found, candidate{worker: w, score: c.scoreOf(s, w)})
+			found = append(found, candidate{worker: w, score: c.placementScore(s, w)})
 		}
 	}
-	l.found = found
+	passes.buffer = found
 	return found
 }
 
-// best returns the candidate with the lowest score that a task may be started
-// on, -1 if there is none.
-func best(found []candidate, t *task, now time.Duration) int {
-	at := -1
+// bestCandidate returns the index of the candidate with the lowest score that the task may
+// be started on, -1 if there is none.
+func bestCandidate(found []candidate, t *task, now time.Duration) int {
+	best := -1
 	for i := range found {
-		if at >= 0 && found[i].score >= found[at].score {
+		if best >= 0 && found[i].score >= found[best].score {
 			continue
 		}
 		if t.mayRunOn(found[i].worker, now) {
-			at = i
+			best = i
 		}
 	}
-	return at
+	return best
 }
 
-// mayRunOn reports whether nothing of the task's own keeps it off a worker.
+// mayRunOn reports whether the task itself may be started on the worker: it doesn't run
+// there, didn't fail there recently, and its trial, if it needs one, may take place.
 func (t *task) mayRunOn(w *worker, now time.Duration) bool {
-	return w.runs[t.name] == nil && now >= t.shunned[w] && (!t.suspect || w.quietFor(t.step.job, now))
+	return w.runs[t.name] == nil && now >= t.avoidUntil[w] && (!t.suspect || w.canTakeTrial(t.step.job, now))
 }
 
 // fits reports whether a step's tasks may be started on a worker now.
 func (c *Cell) fits(s *stepState, w *worker) bool {
-	return c.suits(s, w) && c.hasTicket(s, w)
+	return c.fitsWithoutTicket(s, w) && c.hasTicket(s, w)
 }
 
-// suits is fits but for advice.
-func (c *Cell) suits(s *stepState, w *worker) bool {
-	if !w.admits(s) || w.trial != nil && w.trial != s.job || !w.used.Add(s.need).Fits(w.host.Capacity) {
+// fitsWithoutTicket is like fits, but needs no ticket of the adviser.
+func (c *Cell) fitsWithoutTicket(s *stepState, w *worker) bool {
+	if !w.admitsProbe(s) || w.trialJob != nil && w.trialJob != s.job || !w.used.Add(s.need).Fits(w.host.Capacity) {
 		return false
 	}
 	if s.spec.Label != "" && !w.host.HasLabel(s.spec.Label) {
 		return false
 	}
-	if s.spec.PerWorker > 0 && s.onHost[w] >= s.spec.PerWorker {
+	if s.spec.PerWorker > 0 && s.runsByWorker[w] >= s.spec.PerWorker {
 		return false
 	}
-	return !s.spec.Fills || c.bears(w, s)
+	return !s.spec.Fills || c.toleratesFilling(w, s)
 }
 
-// claiming reports whether the job's claim is on its way to the record.
-func (c *Cell) claiming(j *jobState) bool {
-	return j.progress.Claimed && !j.claimed
+// isClaimPending reports whether the job's claim is set but not yet on record.
+func (c *Cell) isClaimPending(j *jobState) bool {
+	return j.progress.Claimed && !j.claimRecorded
 }
 
-// claim puts on record that a job's tasks may have been started, before the
-// first of them is. It reports whether that is done. A successor may start the
-// tasks of all other jobs at once, without having asked every worker.
-func (c *Cell) claim(j *jobState) bool {
+// ensureClaimed puts on record that a job's tasks may have been started, before the first
+// of them is. It reports whether that is done. A successor may start the tasks of
+// unclaimed jobs at once, without asking every worker first.
+func (c *Cell) ensureClaimed(j *jobState) bool {
 	if !j.progress.Claimed {
 		j.progress.Claimed = true
-		c.saves.dirty(j)
+		c.writer.markDirty(j)
 	}
-	return j.claimed
+	return j.claimRecorded
 }
--- a/cell/end.go
+++ b/cell/end.go
@@ -4,53 +4,53 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// takeEnds takes the list of runs that ended.
-func (c *Cell) takeEnds(w *worker, ended []provider.Ended) {
+// handleEnds processes the ends of runs that a worker lists and that weren't handled yet.
+func (c *Cell) handleEnds(w *worker, ended []provider.Ended) {
 	for i := range ended {
 		e := &ended[i]
-		if e.Number <= w.ended {
+		if e.Number <= w.handledEnd {
 			continue
 		}
-		w.ended = e.Number
-		c.takeEnd(w, e)
+		w.handledEnd = e.Number
+		c.handleEnd(w, e)
 	}
 }
 
-func (c *Cell) takeEnd(w *worker, e *provider.Ended) {
+func (c *Cell) handleEnd(w *worker, e *provider.Ended) {
 	r := w.runs[e.Task]
 	if r != nil && r.attempt == e.Attempt {
 		c.endRun(r, e.How, e.Checkpoint)
 		return
 	}
-	t := c.find(e.Task)
+	t := c.findTask(e.Task)
 	if t == nil || t.step.job.final() {
 		return
 	}
 	t.attempt = max(t.attempt, e.Attempt)
-	c.seenAlive(t, e.Attempt)
+	c.retractCrash(t, e.Attempt)
 	switch e.How {
 	case provider.EndDone:
 		if !t.step.spec.Lasting {
-			c.endStale(t)
+			c.endUntracked(t)
 		}
 	case provider.EndFailed:
 		c.failTask(t, e.Attempt)
 	default:
-		c.keepCheckpoint(t, e.Checkpoint)
+		c.saveCheckpoint(t, e.Checkpoint)
 	}
 }
 
-// endStale takes the end of a run that this owner didn't follow: the task is
-// done, and what was started of it since is stopped.
-func (c *Cell) endStale(t *task) {
+// endUntracked completes a task whose run this owner didn't track. A run of the task that
+// was started since is stopped.
+func (c *Cell) endUntracked(t *task) {
 	c.unqueue(t)
 	if t.run != nil {
 		c.stopRun(t.run, "done elsewhere")
 	}
-	c.doneTask(t)
+	c.completeTask(t)
 }
 
-// endRun takes the end of a run.
+// endRun removes a run that has ended, and completes, fails or requeues its task.
 func (c *Cell) endRun(r *run, how provider.End, checkpoint string) {
 	c.removeRun(r)
 	t := r.task
@@ -58,26 +58,26 @@
 		return
 	}
 	w := r.worker
-	c.note("end", "task", r.name, "attempt", r.attempt, "worker", w.host.ID, "how", how.String(), "ran", c.now-r.began)
+	c.logEvent("end", "task", r.name, "attempt", r.attempt, "worker", w.host.ID, "how", how.String(), "ran", c.now-r.orderedAt)
 	s := t.step
 	if s.job.final() {
 		return
 	}
-	c.account(r, how)
+	c.recordDelays(r, how)
 	if how != provider.EndLost && how != provider.EndLapsed {
-		c.clear(t, r.attempt) // the worker lists the end, so it went on
+		c.clearSuspicion(t, r.attempt) // the worker lists the end, so it didn't crash
 	}
-	c.keepCheckpoint(t, checkpoint)
+	c.saveCheckpoint(t, checkpoint)
 	if how == provider.EndDone && !s.spec.Lasting {
-		c.succeeded(w)
-		c.endDone(t)
+		c.recordSuccess(w)
+		c.completeRun(t)
 		return
 	}
 	switch how {
 	case provider.EndFailed:
-		c.shun(t, w)
+		c.avoid(t, w)
 		w.failures++
-		c.judge(w)
+		c.quarantineIfFailing(w)
 		c.failTask(t, r.attempt)
 	}
 	if s.spec.Gang && how != provider.EndDone {
@@ -86,20 +86,20 @@
 	c.requeue(t)
 }
 
-// endDone takes a run that completed. The members of a gang complete
-// together, so the first such end stands for all.
-func (c *Cell) endDone(t *task) {
+// completeRun completes the task of a successful run. The members of a gang complete
+// together, so the first success completes all of them.
+func (c *Cell) completeRun(t *task) {
 	if !t.step.spec.Gang {
-		c.doneTask(t)
+		c.completeTask(t)
 		return
 	}
 	for _, m := range t.step.tasks {
-		c.doneTask(m)
+		c.completeTask(m)
 	}
 }
 
-// breakGang stops the members that still run: they can't end without the one
-// that is gone.
+// breakGang stops the remaining members of a gang, which can't complete without the one
+// that ended.
 func (c *Cell) breakGang(s *stepState) {
 	for _, m := range s.tasks {
 		if m.run != nil {
@@ -108,12 +108,12 @@
 	}
 }
 
-// keepCheckpoint records where an interrupted task resumes.
-func (c *Cell) keepCheckpoint(t *task, checkpoint string) {
+// saveCheckpoint records the checkpoint that an interrupted task resumes from.
+func (c *Cell) saveCheckpoint(t *task, checkpoint string) {
 	if checkpoint != "" {
-		t.saved = checkpoint
+		t.checkpoint = checkpoint
 	}
-	if t.saved != "" && t.step.job.progress.Save(t.id, t.saved) {
-		c.saves.dirty(t.step.job)
+	if t.checkpoint != "" && t.step.job.progress.Save(t.id, t.checkpoint) {
+		c.writer.markDirty(t.step.job)
 	}
 }
--- a/cell/evacuate.go
+++ b/cell/evacuate.go
@@ -1,25 +1,24 @@
 package cell
 
-// evacuateFound moves what a new owner finds on a worker that leaves. It learned
-// that the worker leaves before it knew what runs there, or found it on record:
-// without this look the runs would stay until the worker goes, and be lost.
-func (c *Cell) evacuateFound(w *worker) {
+// evacuateIfLeaving moves the runs that a new owner finds on a leaving worker. The owner
+// learned that the worker is leaving before it knew the worker's runs; without this call
+// they would stay until the worker goes, and be lost.
+func (c *Cell) evacuateIfLeaving(w *worker) {
 	if w.host.Draining || w.leaving {
 		c.evacuate(w)
 	}
 }
 
-// evacuate moves what runs on a worker that is about to leave. Lasting tasks
-// go at once, though not so many of a step that its users would notice unless
-// the worker leaves by itself; others that save their progress are moved, the
-// rest may end in the time that is left.
+// evacuate moves runs off a worker that is about to leave. Lasting tasks are moved at
+// once, limited to MayMiss tasks of a step unless the worker itself is draining. Other
+// tasks are moved if they have checkpoints; the rest may finish in the time that is left.
 func (c *Cell) evacuate(w *worker) {
 	for _, r := range inOrder(w.runs) {
 		if r.task == nil || r.state == runStopping {
 			continue
 		}
 		spec := r.task.step.spec
-		lasting := spec.Lasting && (w.host.Draining || r.task.step.mayMiss(r))
+		lasting := spec.Lasting && (w.host.Draining || r.task.step.canMiss(r))
 		if lasting || spec.Checkpoints && !spec.Gang {
 			c.stopRun(r, "worker leaves")
 		}
--- a/cell/exposure.go
+++ b/cell/exposure.go
@@ -6,68 +6,68 @@
 	"github.com/dogwoodladder/dogwoodladder/pressure"
 )
 
-// tailWindow is how long a tail is measured over.
+// tailWindow is the length of the window that tail latencies are measured over.
 const tailWindow = 500 * time.Millisecond
 
-// exposure follows what a filling task's share of its worker's processors was
-// over the window that tails are measured over. A tail that is read just after
-// a task has ended or slowed down still tells of it, and one read just after
-// a start doesn't yet: taken for the state of the moment, the first makes the
-// load of the users look higher than it is, the second the task harmless.
+// exposure tracks a filling task's mean share of its worker's processors over the window
+// that tail latencies are measured over. A tail read just after a task ended or slowed
+// down still includes its effect, and one read just after a start doesn't include it yet.
+// Using the current share instead would overestimate the load of the serving tasks' users
+// in the first case, and make the task look harmless in the second.
 type exposure struct {
-	before  float64       // mean share when it last changed
-	changed time.Duration // when that was
+	previous  float64 // mean share at the last change
+	changedAt time.Duration
 }
 
-// mean returns the mean share over the window, for the share in use now, and
-// by how much the share changed within it.
-func (e *exposure) mean(now time.Duration, share float64) (mean, moved float64) {
-	part := float64(now-e.changed) / float64(tailWindow)
-	if part >= 1 {
+// mean returns the mean share over the window, given the current share, and by how much
+// the share changed within it.
+func (e *exposure) mean(now time.Duration, share float64) (mean, shift float64) {
+	elapsed := float64(now-e.changedAt) / float64(tailWindow)
+	if elapsed >= 1 {
 		return share, 0
 	}
-	part = max(0, part)
-	mean = e.before + (share-e.before)*part
-	return mean, max(share-e.before, e.before-share)
+	elapsed = max(0, elapsed)
+	mean = e.previous + (share-e.previous)*elapsed
+	return mean, max(share-e.previous, e.previous-share)
 }
 
-// change takes note that the share changes at a time.
-func (e *exposure) change(now, at time.Duration, share float64) {
-	e.before, _ = e.mean(now, share)
-	e.changed = at
+// recordChange records that the share changes at the given time.
+func (e *exposure) recordChange(now, at time.Duration, share float64) {
+	e.previous, _ = e.mean(now, share)
+	e.changedAt = at
 }
 
-// gone is a filling task that ended a moment ago.
-type gone struct {
+// endedFill is a filling task that ended within the window.
+type endedFill struct {
 	exposure
 	image string
 }
 
-// fill returns what a filling run is to the estimator.
-func (c *Cell) fill(r *run) pressure.Fill {
-	share, moved := r.exposure.mean(c.now, r.worker.share(r.use))
-	return pressure.Fill{Image: r.task.step.spec.Image, Share: share, Moved: moved}
+// fillOf describes a filling run to the estimator.
+func (c *Cell) fillOf(r *run) pressure.Fill {
+	share, shift := r.exposure.mean(c.now, r.worker.share(r.processorsUsed))
+	return pressure.Fill{Image: r.task.step.spec.Image, Share: share, Moved: shift}
 }
 
-// leave keeps what a filling run that ended has pressed.
-func (w *worker) leave(now time.Duration, r *run) {
+// recordEndedFill keeps the exposure of a filling run that ended.
+func (w *worker) recordEndedFill(now time.Duration, r *run) {
 	e := r.exposure
-	e.change(now, now, w.share(r.use))
-	w.gone = append(w.gone, gone{exposure: e, image: r.task.step.spec.Image})
+	e.recordChange(now, now, w.share(r.processorsUsed))
+	w.endedFills = append(w.endedFills, endedFill{exposure: e, image: r.task.step.spec.Image})
 }
 
-// lately returns the filling tasks that ended within the window.
-func (w *worker) lately(now time.Duration) []pressure.Fill {
+// recentFills returns the filling tasks that ended within the window.
+func (w *worker) recentFills(now time.Duration) []pressure.Fill {
 	var fills []pressure.Fill
-	kept := w.gone[:0]
-	for _, g := range w.gone {
-		share, moved := g.mean(now, 0)
-		if moved == 0 {
+	kept := w.endedFills[:0]
+	for _, f := range w.endedFills {
+		share, shift := f.mean(now, 0)
+		if shift == 0 {
 			continue
 		}
-		kept = append(kept, g)
-		fills = append(fills, pressure.Fill{Image: g.image, Share: share, Moved: moved})
+		kept = append(kept, f)
+		fills = append(fills, pressure.Fill{Image: f.image, Share: share, Moved: shift})
 	}
-	w.gone = kept
+	w.endedFills = kept
 	return fills
 }
--- a/cell/forget.go
+++ b/cell/forget.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Bounds of forgetting.
+// Bounds on the deletion of old jobs.
 const (
-	forgetEvery  = 10 * time.Second
-	forgetAtOnce = 200 // jobs, so that a write stays small
+	forgetInterval       = 10 * time.Second
+	maxForgottenPerWrite = 200 // jobs, which keeps a write small
 )
 
-// forgetOld has jobs dropped that ended long ago: the store keeps the newest
-// record of each key for good, and would fill up within hours. The job's own
-// record goes first. If its progress went first, a reader in between would take
-// the job for one that hasn't begun, and run it again.
+// forgetOld deletes jobs that ended long ago: the store keeps the latest record of each
+// key indefinitely and would fill up within hours. A job's acceptance record is deleted
+// before its progress. In the other order, a reader in between would see a job without
+// progress and run it again.
 func (c *Cell) forgetOld() {
-	if c.forgetting || c.now-c.forgotAt < forgetEvery {
+	if c.forgetInFlight || c.now-c.lastForgetAt < forgetInterval {
 		return
 	}
-	c.forgotAt = c.now
-	before := c.wall.Add(-c.timing.Keep).UnixMilli()
+	c.lastForgetAt = c.now
+	cutoff := c.wall.Add(-c.timing.JobRetention).UnixMilli()
 	var ids []string
 	for id, j := range inOrder(c.jobs) {
-		if j.final() && j.progress.Ended > 0 && j.progress.Ended < before && len(ids) < forgetAtOnce && !j.runs() {
+		if j.final() && j.progress.Ended > 0 && j.progress.Ended < cutoff && len(ids) < maxForgottenPerWrite && !j.hasRuns() {
 			ids = append(ids, id)
 		}
 	}
 	if len(ids) == 0 {
 		return
 	}
-	c.forgetting = true
-	c.do(Forget{IDs: ids})
+	c.forgetInFlight = true
+	c.emit(Forget{IDs: ids})
 }
 
-// runs reports whether anything of the job may still run.
-func (j *jobState) runs() bool {
+// hasRuns reports whether any task of the job may still run.
+func (j *jobState) hasRuns() bool {
 	for _, r := range j.rounds {
 		for _, s := range r.steps {
 			for _, t := range s.tasks {
@@ -45,16 +45,15 @@
 	return false
 }
 
-// forgotten takes note that jobs' own records are gone, and drops their
-// progress.
-func (c *Cell) forgotten(in Forgotten) {
-	c.forgetting = false
-	c.note("jobs forgotten", "jobs", len(in.IDs), "err", in.Err)
+// handleForgotten deletes the progress of jobs whose acceptance records are gone.
+func (c *Cell) handleForgotten(in Forgotten) {
+	c.forgetInFlight = false
+	c.logEvent("jobs forgotten", "jobs", len(in.IDs), "err", in.Err)
 	if in.Err != nil {
-		return // the next look tries again
+		return // retried after forgetInterval
 	}
 	for _, id := range in.IDs {
 		delete(c.jobs, id)
-		c.saves.drop(id)
+		c.writer.dropProgress(id)
 	}
 }
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -19,65 +19,64 @@
 	"github.com/dogwoodladder/dogwoodladder/queue"
 )
 
-// site is a store, workers and owners in virtual time. Everything that leaves
-// an owner and everything that comes back is an event, which can be delayed,
-// lost or carried out late.
+// site simulates a store, workers and owners in virtual time. Each message to or from an
+// owner is an event, which can be delayed, lost or handled late.
 type site struct {
 	t              *testing.T
 	rng            *rand.Rand
 	now            time.Duration
 	events         events
-	order          int
+	eventCount     int
 	store          *logStore
 	workers        []*fakeWorker
 	owners         []*owner
 	table          *queue.Table
-	broken         []string
+	violations     []string
 	paces          map[string]int           // last pace ordered, by task
-	waves          map[int]bool             // as last reported: whether they are completed
-	upkeeps        map[string]int           // by machine
-	tickets        map[string]time.Duration // until when they are valid
-	advised        func(host string) bool   // whether a worker may run what needs advice
+	waves          map[int]bool             // whether each wave was last reported as completed, by number
+	upkeepCount    map[string]int           // by machine
+	tickets        map[string]time.Duration // expiry by ticket
+	isAllowed      func(host string) bool   // the adviser's answer for a worker
 	ticketsRefused int
-	wanted         []provider.Wave   // waves that the operators ask for
+	wantedWaves    []provider.Wave   // waves that the operators requested
 	cordoned       []string          // availability zones that get no new tasks
-	strays         []provider.Host   // entries on the list that no worker stands behind
-	taken          func(*fakeWorker) // told of a worker whose machine goes down for upkeep
-
-	link         *link         // of the owners, nil for one that carries all at once
-	again        int           // starts of tasks that had ended well
-	lateOrders   float64       // share of orders that are carried out 2 to 12 s late, without an answer
-	storeDelay   time.Duration // of each write, one way
-	entryTime    time.Duration // from a worker's restart until its entry says so
-	machinesTime time.Duration // that an answer with the list of machines takes
-	lostSaves    float64       // share of writes whose answer is lost
-	jobs         map[string]*job.Job
-	done         map[string]bool // tasks whose good end was acknowledged
-	ran          map[string]bool // tasks that ended well
-	failures     map[string]int  // acknowledged failures by task
-
-	dark       bool                   // workers that a task crashes go without a word
-	rack       int                    // workers in a rack
-	crashing   func(task string) bool // tasks that crash the worker that starts them; nil for none
-	crashes    map[string]int         // workers that such a task has crashed
-	beyond     map[string]int         // its starts since the third
-	lives      int                    // of workers that came back
-	backAfter  time.Duration          // until a worker that crashed is back, if not the usual time
-	noMachines bool                   // the site has no list of machines
-	onRecord   bool                   // each start is held against the record of workers
-	lateReach  bool                   // late orders reach the next incarnation of their worker as well
-	keepsMark  bool                   // workers take an acknowledgement for ends to come as well
-	keepNames  bool                   // workers that were reset come back under their old IDs
-	failing    func(task string, attempt uint64) bool
-	unhealthy  func(*fakeWorker) bool // fails all that ends there; nil for none
-	length     func(task string) time.Duration
-	tail       func(task string, w *fakeWorker) time.Duration // of serving tasks; nil reports none
+	strayEntries   []provider.Host   // entries on the list without a worker
+	onUpkeep       func(*fakeWorker) // called for a worker whose machine goes down for upkeep
+
+	link               *link         // of the owners, nil for unlimited bandwidth
+	restartedAfterDone int           // starts of tasks that had completed
+	lateOrderRate      float64       // fraction of orders that are carried out 2 to 12 s late, without an answer
+	storeDelay         time.Duration // of each write, one way
+	entryDelay         time.Duration // from a worker's restart until its list entry shows it
+	machineListDelay   time.Duration // of an answer with the list of machines
+	lostSaveRate       float64       // fraction of writes whose answer is lost
+	jobs               map[string]*job.Job
+	acknowledgedDone   map[string]bool // tasks whose success was acknowledged
+	completed          map[string]bool // tasks that completed
+	failures           map[string]int  // acknowledged failures by task
+
+	silentCrashes       bool                   // crashing workers don't reset their connections
+	rackSize            int                    // workers in a rack
+	crashesWorker       func(task string) bool // whether a task crashes the worker that starts it; nil for none
+	crashCount          map[string]int         // workers that each such task has crashed
+	startsBeyondLimit   map[string]int         // starts of each such task after allowedCrashes crashes
+	incarnations        int                    // number of incarnations that came back up
+	restartDelay        time.Duration          // until a crashed worker is back, zero for the default
+	noMachineList       bool                   // the site has no list of machines
+	checkRecords        bool                   // each start is checked against the record of workers
+	lateOrdersReachNext bool                   // late orders also reach the next incarnation of their worker
+	acksCoverLaterEnds  bool                   // workers apply an acknowledgement to later ends as well
+	keepIDs             bool                   // restarted workers come back under their old IDs
+	failsTask           func(task string, attempt uint64) bool
+	isUnhealthy         func(*fakeWorker) bool // whether all tasks that end on a worker fail; nil for none
+	duration            func(task string) time.Duration
+	tail                func(task string, w *fakeWorker) time.Duration // tail latency of serving tasks; nil reports none
 }
 
 type event struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
 type events []event
@@ -96,34 +95,34 @@
 }
 
 const (
-	hop      = 2 * time.Millisecond // one way between any two machines
-	timeout  = 900 * time.Millisecond
-	tickTime = 20 * time.Millisecond
-	service  = "pool"
+	hopDelay     = 2 * time.Millisecond // one way between any two machines
+	timeout      = 900 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
+	service      = "pool"
 )
 
 func newSite(t *testing.T, seed uint64, workers, owners int) *site {
 	s := &site{
-		t:        t,
-		paces:    make(map[string]int),
-		waves:    make(map[int]bool),
-		upkeeps:  make(map[string]int),
-		tickets:  make(map[string]time.Duration),
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		store:    &logStore{answers: make(map[uint64]error)},
-		table:    queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: terms}}, []queue.Service{{Name: service}}),
-		jobs:     make(map[string]*job.Job),
-		done:     make(map[string]bool),
-		ran:      make(map[string]bool),
-		failures: make(map[string]int),
-		crashes:  make(map[string]int),
-		rack:     2,
-		beyond:   make(map[string]int),
-		taken:    func(*fakeWorker) {},
-		failing: func(string, uint64) bool {
+		t:                 t,
+		paces:             make(map[string]int),
+		waves:             make(map[int]bool),
+		upkeepCount:       make(map[string]int),
+		tickets:           make(map[string]time.Duration),
+		rng:               rand.New(rand.NewPCG(seed, 1)),
+		store:             &logStore{answers: make(map[uint64]error)},
+		table:             queue.New(1, queue.Limits{}, []queue.Queue{{Name: "q", Terms: terms}}, []queue.Service{{Name: service}}),
+		jobs:              make(map[string]*job.Job),
+		acknowledgedDone:  make(map[string]bool),
+		completed:         make(map[string]bool),
+		failures:          make(map[string]int),
+		crashCount:        make(map[string]int),
+		rackSize:          2,
+		startsBeyondLimit: make(map[string]int),
+		onUpkeep:          func(*fakeWorker) {},
+		failsTask: func(string, uint64) bool {
 			return false
 		},
-		length: func(task string) time.Duration {
+		duration: func(task string) time.Duration {
 			h := fnv.New32()
 			_, _ = h.Write([]byte(task))
 			return 300*time.Millisecond + time.Duration(h.Sum32()%1500)*time.Millisecond
@@ -133,7 +132,7 @@
 		s.workers = append(s.workers, newFakeWorker(s, i, 0))
 	}
 	for i := range owners {
-		s.owners = append(s.owners, &owner{site: s, name: fmt.Sprintf("e%d", i), noWorker: make(map[int]bool)})
+		s.owners = append(s.owners, &owner{site: s, name: fmt.Sprintf("e%d", i), unreachable: make(map[int]bool)})
 	}
 	return s
 }
@@ -141,46 +140,46 @@
 var terms = job.Terms{Service: service, Attempts: 3, Stretch: 2, Objective: time.Second}
 
 func (s *site) after(d time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.events, event{at: s.now + d, order: s.order, do: do})
+	s.eventCount++
+	heap.Push(&s.events, event{at: s.now + d, order: s.eventCount, run: do})
 }
 
 func (s *site) run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	s.now = until
 }
 
-func (s *site) violate(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
+func (s *site) recordViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// listAt returns the list of workers as it stood at a time.
+// listAt returns the list of workers as of a time.
 func (s *site) listAt(at time.Duration) provider.HostList {
-	list := provider.HostList{AsOf: at, Hosts: slices.Clone(s.strays)}
+	list := provider.HostList{AsOf: at, Hosts: slices.Clone(s.strayEntries)}
 	for _, w := range s.workers {
-		if !w.up && at >= w.downAt && !w.restarts {
+		if !w.up && at >= w.downAt && !w.restarting {
 			continue
 		}
-		if w.unsound {
+		if w.entryUnsound {
 			list.Unsound = append(list.Unsound, w.host.ID)
 			continue
 		}
 		h := w.host
-		h.Draining = w.leaves && at >= w.leavesAt
-		h.Capacity = w.roomAt(at - hostBeat)
-		if at < w.listedAt {
-			h = w.before
+		h.Draining = w.leaving && at >= w.leavingSince
+		h.Capacity = w.capacityAt(at - entryInterval)
+		if at < w.entryListedAt {
+			h = w.previousEntry
 		}
 		list.Hosts = append(list.Hosts, h)
 	}
 	return list
 }
 
-// submit puts a job on record.
+// submit puts an accepted job on record.
 func (s *site) submit(j *job.Job) {
 	j.Queue = "q"
 	j.Terms = terms
@@ -197,9 +196,9 @@
 	s.store.cancelled = append(s.store.cancelled, cancellation{id: id, at: s.now})
 }
 
-// state returns what any instance would answer for a job.
+// state returns the state that any instance would report for a job.
 func (s *site) state(id string) string {
-	state, known := s.store.fold(s.t).State(id)
+	state, known := s.store.readCatalog(s.t).State(id)
 	if !known {
 		return "unknown"
 	}
@@ -208,40 +207,40 @@
 
 // owner is an instance that may own the cell.
 type owner struct {
-	site     *site
-	name     string
-	cell     *cell.Cell
-	read     int // accepts handed to the cell
-	frozen   bool
-	queued   []cell.Input
-	noStore  bool
-	noList   bool              // its reads of the list of workers fail
-	listTime time.Duration     // that a read of it takes
-	list     provider.HostList // as it last read it, in whichever term
-	noWorker map[int]bool
-	cordoned []string // availability zones, as it was told
-	life     int
-	asking   int                      // questions for the adviser that are under way
-	noted    func(event string)       // told of what the owner logs
-	ordered  func(provider.HoldOrder) // told of each hold
-	started  func(provider.StartOrder)
-	starting int // starts without an answer
-	most     int // of them at any time
+	site              *site
+	name              string
+	cell              *cell.Cell
+	acceptsRead       int // records of accepted jobs passed to the cell
+	frozen            bool
+	queuedInputs      []cell.Input
+	noStore           bool
+	noList            bool                     // its reads of the list of workers fail
+	listDelay         time.Duration            // of its reads of the list
+	list              provider.HostList        // last list that it read, possibly in an earlier term
+	unreachable       map[int]bool             // workers that it can't reach, by number
+	cordoned          []string                 // availability zones that its cell knows as cordoned
+	generation        int                      // incremented when it takes or loses the cell
+	adviceInFlight    int                      // requests to the adviser in flight
+	onLog             func(event string)       // called for each log line
+	onHold            func(provider.HoldOrder) // called for each hold
+	onStart           func(provider.StartOrder)
+	startsInFlight    int // starts without an answer
+	maxStartsInFlight int // maximum of startsInFlight
 }
 
 // firstAttempt is the number of the first start of a task by the first owner.
 const firstAttempt = catalog.TermSpacing<<12 + 1
 
-// take makes the owner claim the cell, as an instance does that reaches the
-// store and took the last owner for gone.
-func (o *owner) take() {
-	if err := o.own(o.site.store.fold(o.site.t)); err != nil {
+// takeOver makes the owner claim the cell, like an instance that reaches the store and has
+// found the last owner to be gone.
+func (o *owner) takeOver() {
+	if err := o.takeOverWith(o.site.store.readCatalog(o.site.t)); err != nil {
 		o.site.t.Fatal(err)
 	}
 }
 
-// own is take, of an owner that knows what is given of jobs.
-func (o *owner) own(known *catalog.Catalog) error {
+// takeOverWith is like takeOver, with the given catalog of jobs.
+func (o *owner) takeOverWith(known *catalog.Catalog) error {
 	s := o.site
 	term := s.store.claim(o.name)
 	c, err := cell.New(cell.Self{Instance: o.name, Term: term, Sequence: 1}, cell.DefaultTiming(), known, s.now, wall(s.now))
@@ -249,33 +248,33 @@
 		return err
 	}
 	o.cell = c
-	o.read = len(s.store.accepts)
-	o.life++
-	o.queued = nil
+	o.acceptsRead = len(s.store.accepts)
+	o.generation++
+	o.queuedInputs = nil
 	o.step(cell.Configured{Table: s.table})
 	o.cordoned = s.cordoned
 	o.step(cell.Cordoned{AvailabilityZones: o.cordoned})
 	o.step(cell.Hosts{List: o.list})
-	o.step(cell.Waves{Waves: s.wanted})
-	o.tick(o.life)
+	o.step(cell.Waves{Waves: s.wantedWaves})
+	o.tick(o.generation)
 	return nil
 }
 
-// takeover has one owner killed, and another one take the cell.
-func (s *site) takeover(from, to int) {
+// replaceOwner kills one owner and lets another one take the cell.
+func (s *site) replaceOwner(from, to int) {
 	s.owners[from].kill()
-	s.owners[to].take()
+	s.owners[to].takeOver()
 }
 
-// addStray puts an entry on the list of workers that no worker stands behind.
-func (s *site) addStray() {
-	s.strays = append(s.strays, provider.Host{ID: "stray", Address: "10.9.9.9:1", Service: service, Capacity: s.workers[0].host.Capacity})
+// addStrayEntry adds an entry to the list of workers that has no worker behind it.
+func (s *site) addStrayEntry() {
+	s.strayEntries = append(s.strayEntries, provider.Host{ID: "stray", Address: "10.9.9.9:1", Service: service, Capacity: s.workers[0].host.Capacity})
 }
 
 // kill ends the owner's process.
 func (o *owner) kill() {
 	o.cell = nil
-	o.life++
+	o.generation++
 	o.frozen = false
 }
 
@@ -283,29 +282,29 @@
 	return time.Unix(1_800_000_000, 0).Add(now)
 }
 
-func (o *owner) tick(life int) {
-	if o.life != life || o.cell == nil {
+func (o *owner) tick(generation int) {
+	if o.generation != generation || o.cell == nil {
 		return
 	}
 	if !o.noStore && !o.frozen {
-		o.follow()
+		o.readStore()
 	}
 	o.step(cell.Tick{Wall: wall(o.site.now)})
-	o.site.after(tickTime, func() { o.tick(life) })
+	o.site.after(tickInterval, func() { o.tick(generation) })
 }
 
-// follow hands new accepts to the cell, and the workers' list.
-func (o *owner) follow() {
+// readStore passes new accepted jobs, cordons and the list of workers to the cell.
+func (o *owner) readStore() {
 	s := o.site
-	for ; o.read < len(s.store.accepts); o.read++ {
+	for ; o.acceptsRead < len(s.store.accepts); o.acceptsRead++ {
 		known := catalog.New()
-		for _, r := range s.store.accepts[:o.read+1] {
+		for _, r := range s.store.accepts[:o.acceptsRead+1] {
 			if err := known.Accept(r); err != nil {
 				s.t.Fatal(err)
 			}
 		}
 		for _, e := range known.Take() {
-			if strings.HasSuffix(s.store.accepts[o.read].Key, e.Job.ID) {
+			if strings.HasSuffix(s.store.accepts[o.acceptsRead].Key, e.Job.ID) {
 				o.step(cell.Arrived{Entry: e})
 				break
 			}
@@ -318,27 +317,27 @@
 	o.readList()
 }
 
-// readList hands the list of workers to the cell once it is read.
+// readList passes the list of workers to the cell once it is read.
 func (o *owner) readList() {
 	s := o.site
 	if o.noList {
 		return
 	}
-	if o.listTime == 0 {
-		o.takeList(s.listAt(s.now))
+	if o.listDelay == 0 {
+		o.handleList(s.listAt(s.now))
 		return
 	}
-	list, life := s.listAt(s.now), o.life
-	s.after(o.listTime, func() {
-		if o.life == life {
-			o.takeList(list)
+	list, generation := s.listAt(s.now), o.generation
+	s.after(o.listDelay, func() {
+		if o.generation == generation {
+			o.handleList(list)
 		}
 	})
 }
 
-// takeList hands a list to the cell. One in which nothing has changed has the same
-// Hosts as the one before.
-func (o *owner) takeList(list provider.HostList) {
+// handleList passes a list to the cell. An unchanged list shares its Hosts with the
+// previous one.
+func (o *owner) handleList(list provider.HostList) {
 	if reflect.DeepEqual(o.list.Hosts, list.Hosts) {
 		list.Hosts = o.list.Hosts
 	}
@@ -351,7 +350,7 @@
 		return
 	}
 	if o.frozen {
-		o.queued = append(o.queued, in)
+		o.queuedInputs = append(o.queuedInputs, in)
 		return
 	}
 	for _, a := range o.cell.Step(o.site.now, in) {
@@ -361,14 +360,14 @@
 
 func (o *owner) freeze(d time.Duration) {
 	o.frozen = true
-	life := o.life
+	generation := o.generation
 	o.site.after(d, func() {
-		if o.life != life {
+		if o.generation != generation {
 			return
 		}
 		o.frozen = false
-		queued := o.queued
-		o.queued = nil
+		queued := o.queuedInputs
+		o.queuedInputs = nil
 		for _, in := range queued {
 			o.step(in)
 		}
@@ -381,37 +380,37 @@
 	case cell.Save:
 		o.save(a)
 	case cell.Hold:
-		if o.ordered != nil {
-			o.ordered(a.Order)
+		if o.onHold != nil {
+			o.onHold(a.Order)
 		}
 		sent := s.now
-		o.order(a.Order.Host, orderBytes, a.Order.Wait, func(w *fakeWorker) any { return w.hold(a.Order) }, func(out any, err error) cell.Input {
+		o.sendOrder(a.Order.Host, orderBytes, a.Order.Wait, func(w *fakeWorker) any { return w.hold(a.Order) }, func(out any, err error) cell.Input {
 			held, _ := out.(provider.Held)
 			return cell.HoldReply{Host: a.Order.Host.ID, Token: a.Order.Token, Sent: sent, Held: held, Err: err}
 		})
 	case cell.Start:
-		s.checkLife(o.list, a.Order.Host)
-		if slices.Contains(o.cordoned, zoneOf(s.worker(a.Order.Host).number)) {
-			s.violate("%s is started in a cordoned availability zone", a.Order.Task)
+		s.checkIncarnation(o.list, a.Order.Host)
+		if slices.Contains(o.cordoned, zoneOf(s.workerAt(a.Order.Host).number)) {
+			s.recordViolation("%s is started in a cordoned availability zone", a.Order.Task)
 		}
-		if o.started != nil {
-			o.started(a.Order)
+		if o.onStart != nil {
+			o.onStart(a.Order)
 		}
-		o.starting++
-		o.most = max(o.most, o.starting)
+		o.startsInFlight++
+		o.maxStartsInFlight = max(o.maxStartsInFlight, o.startsInFlight)
 		sent := s.now
-		o.order(a.Order.Host, orderBytes+len(a.Order.Spec), 0, func(w *fakeWorker) any { return w.start(a.Order) }, func(out any, err error) cell.Input {
-			o.starting--
+		o.sendOrder(a.Order.Host, orderBytes+len(a.Order.Spec), 0, func(w *fakeWorker) any { return w.start(a.Order) }, func(out any, err error) cell.Input {
+			o.startsInFlight--
 			refusal, _ := out.(provider.Refusal)
 			return cell.StartReply{Host: a.Order.Host.ID, Token: a.Order.Token, Task: a.Order.Task, Attempt: a.Order.Attempt, Sent: sent, Refusal: refusal, Err: err}
 		})
 	case cell.Stop:
-		o.order(a.Order.Host, orderBytes, 0, func(w *fakeWorker) any { return w.stop(a.Order) }, func(_ any, err error) cell.Input {
+		o.sendOrder(a.Order.Host, orderBytes, 0, func(w *fakeWorker) any { return w.stop(a.Order) }, func(_ any, err error) cell.Input {
 			return cell.StopReply{Host: a.Order.Host.ID, Token: a.Order.Token, Task: a.Order.Task, Attempt: a.Order.Attempt, Err: err}
 		})
 	case cell.Pace:
 		s.paces[a.Order.Task] = a.Order.Percent
-		if w := s.worker(a.Order.Host); w != nil {
+		if w := s.workerAt(a.Order.Host); w != nil {
 			w.pace(a.Order)
 		}
 	case cell.Forget:
@@ -423,25 +422,25 @@
 	case cell.ReportWave:
 		s.waves[a.Number] = a.Completed
 	case cell.ListMachines:
-		s.after(hop, func() {
-			list := s.machines()
-			s.after(hop+s.machinesTime, func() { o.step(list) })
+		s.after(hopDelay, func() {
+			list := s.machineList()
+			s.after(hopDelay+s.machineListDelay, func() { o.step(list) })
 		})
 	case cell.Note:
-		if o.noted != nil {
-			o.noted(a.Event)
+		if o.onLog != nil {
+			o.onLog(a.Event)
 		}
 	case cell.Deposed:
 		o.kill()
 	}
 }
 
-// forget drops jobs' records, a while after it was asked to, if the owner lives.
+// forget deletes the records of jobs after a delay, unless the owner has lost the cell.
 func (o *owner) forget(a cell.Forget) {
 	s := o.site
-	life := o.life
-	s.after(25*hop, func() {
-		if o.life != life {
+	generation := o.generation
+	s.after(25*hopDelay, func() {
+		if o.generation != generation {
 			return
 		}
 		for _, id := range a.IDs {
@@ -451,8 +450,8 @@
 	})
 }
 
-// down returns how many workers are down.
-func (s *site) down() int {
+// downCount returns how many workers are down.
+func (s *site) downCount() int {
 	n := 0
 	for _, w := range s.workers {
 		if !w.up {
@@ -462,9 +461,9 @@
 	return n
 }
 
-func (s *site) machines() cell.MachineList {
-	list := cell.MachineList{Sent: s.now - hop}
-	if s.noMachines {
+func (s *site) machineList() cell.MachineList {
+	list := cell.MachineList{Sent: s.now - hopDelay}
+	if s.noMachineList {
 		list.Err = fault.New(fault.Unavailable, "the site has no list of machines")
 		return list
 	}
@@ -480,9 +479,9 @@
 
 func (o *owner) save(a cell.Save) {
 	s := o.site
-	life := o.life
+	generation := o.generation
 	reply := func(err error) {
-		if o.life == life {
+		if o.generation == generation {
 			o.step(cell.Saved{Sequence: a.Sequence, Err: err})
 		}
 	}
@@ -490,95 +489,95 @@
 		s.after(timeout, func() { reply(fault.New(fault.MayHaveRun, "no answer")) })
 		return
 	}
-	lost := s.rng.Float64() < s.lostSaves
-	s.after(hop+s.storeDelay, func() {
-		err := s.store.put(a)
+	lost := s.rng.Float64() < s.lostSaveRate
+	s.after(hopDelay+s.storeDelay, func() {
+		err := s.store.write(a)
 		if lost {
 			s.after(timeout, func() { reply(fault.New(fault.MayHaveRun, "answer lost")) })
 			return
 		}
-		s.after(hop+s.storeDelay, func() { reply(err) })
+		s.after(hopDelay+s.storeDelay, func() { reply(err) })
 	})
 }
 
-// order carries an order to a worker and its outcome back.
-func (o *owner) order(h provider.Host, bytes int, wait time.Duration, do func(*fakeWorker) any, reply func(any, error) cell.Input) {
+// sendOrder delivers an order to a worker and returns its outcome to the cell.
+func (o *owner) sendOrder(h provider.Host, bytes int, wait time.Duration, handle func(*fakeWorker) any, reply func(any, error) cell.Input) {
 	s := o.site
-	life := o.life
-	back := func(out any, err error) {
-		if o.life == life {
+	generation := o.generation
+	returnOutcome := func(out any, err error) {
+		if o.generation == generation {
 			o.step(reply(out, err))
 		}
 	}
-	w := s.worker(h)
-	silent := func() { s.after(wait+timeout, func() { back(nil, fault.New(fault.MayHaveRun, "no answer")) }) }
-	if w != nil && w.refuses && !o.noWorker[w.number] {
-		s.after(2*hop, func() { back(nil, fault.New(fault.Unavailable, "connection refused")) })
+	w := s.workerAt(h)
+	timeOut := func() { s.after(wait+timeout, func() { returnOutcome(nil, fault.New(fault.MayHaveRun, "no answer")) }) }
+	if w != nil && w.refusesConnections && !o.unreachable[w.number] {
+		s.after(2*hopDelay, func() { returnOutcome(nil, fault.New(fault.Unavailable, "connection refused")) })
 		return
 	}
-	if w == nil || !w.up || o.noWorker[w.number] {
-		silent()
+	if w == nil || !w.up || o.unreachable[w.number] {
+		timeOut()
 		return
 	}
-	if s.rng.Float64() < s.lateOrders {
+	if s.rng.Float64() < s.lateOrderRate {
 		late := 2*time.Second + time.Duration(s.rng.Int64N(int64(10*time.Second)))
 		s.after(late, func() {
-			there := s.worker(h)
-			if there.up && there.host.ID == h.ID && (there == w || s.lateReach) {
-				do(there)
+			current := s.workerAt(h)
+			if current.up && current.host.ID == h.ID && (current == w || s.lateOrdersReachNext) {
+				handle(current)
 			}
 		})
-		silent()
+		timeOut()
 		return
 	}
 	if s.link != nil {
-		back = s.firstOutcome(wait, back)
+		returnOutcome = s.firstOutcome(wait, returnOutcome)
 	}
-	s.after(hop+s.link.up(s.now, bytes), func() { o.deliver(w, h, wait, do, back, silent) })
+	s.after(hopDelay+s.link.upDelay(s.now, bytes), func() { o.deliver(w, h, wait, handle, returnOutcome, timeOut) })
 }
 
-func (o *owner) deliver(w *fakeWorker, h provider.Host, wait time.Duration, do func(*fakeWorker) any, back func(any, error), silent func()) {
+func (o *owner) deliver(w *fakeWorker, h provider.Host, wait time.Duration, handle func(*fakeWorker) any, returnOutcome func(any, error), timeOut func()) {
 	s := o.site
-	if !w.up || o.noWorker[w.number] {
-		silent()
+	if !w.up || o.unreachable[w.number] {
+		timeOut()
 		return
 	}
 	if w.host.ID != h.ID {
-		s.after(hop, func() { back(nil, fault.New(fault.NotFound, "another life")) })
+		s.after(hopDelay, func() { returnOutcome(nil, fault.New(fault.NotFound, "another incarnation")) })
 		return
 	}
 	answer := func(out any) {
 		if err, failed := out.(error); failed {
-			s.after(hop, func() { back(nil, err) })
+			s.after(hopDelay, func() { returnOutcome(nil, err) })
 			return
 		}
-		if o.noWorker[w.number] {
-			silent()
+		if o.unreachable[w.number] {
+			timeOut()
 			return
 		}
-		s.after(hop+s.link.down(s.now, out), func() { back(out, nil) })
+		s.after(hopDelay+s.link.downDelay(s.now, out), func() { returnOutcome(out, nil) })
 	}
-	out := do(w)
+	out := handle(w)
 	if held, ok := out.(provider.Held); ok && len(held.Ended) == 0 && wait > 0 {
 		answered := false
 		w.wait(wait, h.ID, func() {
 			answered = true
 			answer(w.held())
 		})
-		fail := func(why string) {
+		fail := func(reason string) {
 			if !answered {
 				answered = true
-				back(nil, fault.New(fault.MayHaveRun, "%s", why))
+				returnOutcome(nil, fault.New(fault.MayHaveRun, "%s", reason))
 			}
 		}
-		w.onReset = append(w.onReset, func() { s.after(hop, func() { fail("connection reset") }) })
+		w.onReset = append(w.onReset, func() { s.after(hopDelay, func() { fail("connection reset") }) })
 		s.after(wait+timeout, func() { fail("no answer") })
 		return
 	}
 	answer(out)
 }
 
-func (s *site) worker(h provider.Host) *fakeWorker {
+func (s *site) workerAt(h provider.Host) *fakeWorker {
 	for _, w := range s.workers {
 		if w.host.Address == h.Address {
 			return w
--- a/cell/hold.go
+++ b/cell/hold.go
@@ -7,166 +7,172 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// holdIdle sends a hold to each worker that is due for one.
-func (c *Cell) holdIdle() {
+// sendDueHolds sends a hold to each worker that is due for one.
+func (c *Cell) sendDueHolds() {
 	for _, w := range c.everyWorker() {
-		if !w.holding && !w.lost && c.now >= w.holdAt {
-			c.hold(w)
+		if !w.holdInFlight && !w.lost && c.now >= w.nextHoldAt {
+			c.sendHold(w)
 		}
 	}
 }
 
-func (c *Cell) hold(w *worker) {
-	order := provider.HoldOrder{Host: w.host, Token: w.token, Seen: c.acknowledging(w), Wait: c.timing.HoldWait}
+// sendHold sends a hold to a worker: it asks for the worker's runs and ends, acknowledges
+// recorded ends and renews the lease.
+func (c *Cell) sendHold(w *worker) {
+	order := provider.HoldOrder{Host: w.host, Token: w.token, Seen: c.acknowledgeUpTo(w), Wait: c.timing.HoldWait}
 	if len(w.runs) == 0 {
 		order.Wait = c.timing.IdleWait
 	}
-	if w.serving > 0 && w.filling > 0 {
+	if w.servingCount > 0 && w.fillingProcessors > 0 {
 		order.Wait = c.mixedWait()
 	}
-	if w.trial != nil {
-		order.Wait = trialWait
+	if w.trialJob != nil {
+		order.Wait = trialHoldWait
 	}
-	if !w.asked || w.misses > 0 {
+	if !w.answered || w.missedHolds > 0 {
 		order.Wait = 0
 	}
-	// A worker that doesn't answer isn't extended: such an order may be carried
-	// out all the same, and its tasks would never count as ended.
-	if w.asked && w.misses == 0 && c.mayOrder() {
-		order.Deadline = c.clockNow(w) + c.timing.Lease.Milliseconds()
-		w.deadline = max(w.deadline, order.Deadline)
+	// The lease of a worker that doesn't answer isn't renewed: the worker may carry out
+	// the order all the same, and its tasks would never count as ended.
+	if w.answered && w.missedHolds == 0 && c.canOrder() {
+		order.Deadline = c.estimateClock(w) + c.timing.Lease.Milliseconds()
+		w.leaseDeadline = max(w.leaseDeadline, order.Deadline)
 	}
-	w.holding = true
-	w.sentSeen = order.Seen
-	c.do(Hold{Order: order})
+	w.holdInFlight = true
+	w.sentAck = order.Seen
+	c.emit(Hold{Order: order})
 }
 
-// mixedWait returns how long a worker with filling tasks beside serving ones
-// may keep a hold. On a large site it grows, so that these holds take no more
+// mixedWait returns how long a worker with filling tasks beside serving ones may delay the
+// answer to a hold. It grows with the size of the site, so that these holds take no more
 // than a few hundred calls a second.
 func (c *Cell) mixedWait() time.Duration {
-	return min(c.timing.HoldWait, max(c.timing.MixedWait, time.Duration(len(c.workers))*mixedShare))
+	return min(c.timing.HoldWait, max(c.timing.MixedWait, time.Duration(len(c.workers))*mixedHoldInterval))
 }
 
-// mixedShare is the time between two such holds of the whole site.
-const mixedShare = 2 * time.Millisecond
+// mixedHoldInterval is the minimum time between two such holds, over all workers.
+const mixedHoldInterval = 2 * time.Millisecond
 
-// held takes a worker's answer to a hold.
-func (c *Cell) held(in HoldReply) {
-	w := c.addressee(in.Host, in.Token)
+// handleHoldReply handles a worker's answer to a hold.
+func (c *Cell) handleHoldReply(in HoldReply) {
+	w := c.workerByToken(in.Host, in.Token)
 	if w == nil {
-		c.fenced(in.Host, in.Token, in.Err)
+		c.handleFenced(in.Host, in.Token, in.Err)
 		return
 	}
-	w.holding = false
+	w.holdInFlight = false
 	if in.Err != nil {
-		c.missed(w, in)
+		c.handleMissedHold(w, in)
 		return
 	}
-	if w.replaced(&in.Held) {
-		c.restart(w, &in.Held)
+	if w.isReplacedBy(&in.Held) {
+		c.handleRestart(w, &in.Held)
 		return
 	}
-	first := !w.asked
-	c.heardFrom(w, in)
+	first := !w.answered
+	c.recordContact(w, in)
 	if first {
-		c.settleStarts(w, &in.Held)
+		c.resolveStarts(w, &in.Held)
 		c.assumeLease(w)
 	}
-	c.takeEnds(w, in.Held.Ended)
-	c.takeRuns(w, in.Held.Running)
-	c.settleRuns(w, in.Held)
+	c.handleEnds(w, in.Held.Ended)
+	c.handleRuns(w, in.Held.Running)
+	c.endMissingRuns(w, in.Held)
 	if first {
 		c.register(w)
-		c.surveyed(w)
-		c.evacuateFound(w)
+		c.markSurveyed(w)
+		c.evacuateIfLeaving(w)
 	}
-	c.touch(w)
-	c.holdAgain(w)
+	c.markChanged(w)
+	c.scheduleHold(w)
 }
 
-// heardFrom takes note of what an answer says of the worker itself.
-func (c *Cell) heardFrom(w *worker, in HoldReply) {
-	if w.misses > 0 {
-		c.note("worker regained", "worker", w.host.ID, "after", c.now-w.heard, "runs", len(w.runs))
-	}
-	w.noteMade(c.now, in)
-	w.noteForgot(in.Held.Ended)
-	w.misses = 0
-	w.vouched = false
-	w.heard = c.now
+// recordContact updates the worker's own state from an answer: the time of the last
+// contact, its clock and its incarnation.
+func (c *Cell) recordContact(w *worker, in HoldReply) {
+	if w.missedHolds > 0 {
+		c.logEvent("worker regained", "worker", w.host.ID, "after", c.now-w.lastContact, "runs", len(w.runs))
+	}
+	w.updateAnsweredAt(c.now, in)
+	w.updateForgottenEnd(in.Held.Ended)
+	w.missedHolds = 0
+	w.machineUp = false
+	w.lastContact = c.now
 	w.clock = in.Held.Clock
-	w.clockAt = c.now
-	w.asked = true
+	w.clockReadAt = c.now
+	w.answered = true
 	w.born = cmp.Or(in.Held.Born, w.born)
 }
 
-// holdAgain sends the next hold, or has it wait where ends of the worker aren't on record
-// yet.
-func (c *Cell) holdAgain(w *worker) {
-	w.holdAt = c.now
-	if w.ended > w.seen {
-		if c.saves.wait(w) {
-			w.holdAt = c.now + c.timing.UnseenWait
+// scheduleHold sends the next hold, or delays it while ends that the worker lists aren't
+// on record yet.
+func (c *Cell) scheduleHold(w *worker) {
+	w.nextHoldAt = c.now
+	if w.handledEnd > w.recordedEnd {
+		if c.writer.deferAck(w) {
+			w.nextHoldAt = c.now + c.timing.UnrecordedWait
 		} else {
-			w.seen = w.ended
+			w.recordedEnd = w.handledEnd
 		}
 	}
-	if c.now >= w.holdAt {
-		c.hold(w)
+	if c.now >= w.nextHoldAt {
+		c.sendHold(w)
 	}
 }
 
-// missed takes a hold that had no good answer.
-func (c *Cell) missed(w *worker, in HoldReply) {
-	if c.failedOrder(w, in.Err) {
+// handleMissedHold handles a hold that failed.
+func (c *Cell) handleMissedHold(w *worker, in HoldReply) {
+	if c.handleOrderError(w, in.Err) {
 		return
 	}
-	w.misses++
-	if w.misses == 1 {
-		w.silent = c.now
-		c.note("worker silent", "worker", w.host.ID, "runs", len(w.runs), "err", in.Err)
+	w.missedHolds++
+	if w.missedHolds == 1 {
+		w.silentSince = c.now
+		c.logEvent("worker silent", "worker", w.host.ID, "runs", len(w.runs), "err", in.Err)
 	}
-	w.holdAt = c.now + min(maxHoldPause, firstHoldPause<<min(w.misses, 4))
+	w.nextHoldAt = c.now + min(maxHoldPause, firstHoldPause<<min(w.missedHolds, 4))
 }
 
-// Pauses after holds without an answer. They bound what a worker that is out
-// of reach costs, and how late its return is noticed.
+// Backoff after holds without an answer. It limits the calls to an unreachable worker,
+// and the maximum limits how late its return is noticed.
 const (
 	firstHoldPause = 50 * time.Millisecond
 	maxHoldPause   = 500 * time.Millisecond
 )
 
-// ackWithin is how long after it made an answer a worker is sent an acknowledgement. One
-// that restarts is away for longer, so it can't be the next incarnation that takes it.
-const ackWithin = 300 * time.Millisecond
+// maxAckAge is the age of a worker's last answer up to which it is sent an
+// acknowledgement. A restart takes longer than this, so the next incarnation can't receive
+// the acknowledgement.
+const maxAckAge = 300 * time.Millisecond
 
-// noteMade reckons when an answer was made at the earliest: after its hold was sent, and
-// so long after the one before as the worker's clock says. It may have been under way
-// for a long time, as where the owner stood still.
-func (w *worker) noteMade(now time.Duration, in HoldReply) {
-	made := w.madeAt + time.Duration(in.Held.Clock-w.clock)*time.Millisecond
-	if !w.asked {
-		made = in.Sent
-	}
-	w.madeAt = min(now, max(in.Sent, made))
+// updateAnsweredAt computes the earliest time at which the answer can have been made:
+// after its hold was sent, and as long after the previous answer as the worker's clock
+// says. The answer may have been delayed for a long time, for example while the owner was
+// frozen.
+func (w *worker) updateAnsweredAt(now time.Duration, in HoldReply) {
+	answeredAt := w.answeredAt + time.Duration(in.Held.Clock-w.clock)*time.Millisecond
+	if !w.answered {
+		answeredAt = in.Sent
+	}
+	w.answeredAt = min(now, max(in.Sent, answeredAt))
 }
 
-// acknowledging returns up to which end the next hold may have a worker forget its ends.
-// What is acknowledged once isn't again: on the next incarnation it would stand for
-// ends that nobody has read.
-func (c *Cell) acknowledging(w *worker) uint64 {
-	if w.seen == w.forgot || w.misses > 0 || c.now-w.madeAt >= ackWithin {
+// acknowledgeUpTo returns the highest end that the next hold acknowledges, so that the
+// worker may forget its ends up to there; zero for none. An end that the worker has
+// already forgotten isn't acknowledged again: the next incarnation would apply the number
+// to its own ends, which haven't been read yet.
+func (c *Cell) acknowledgeUpTo(w *worker) uint64 {
+	if w.recordedEnd == w.forgottenEnd || w.missedHolds > 0 || c.now-w.answeredAt >= maxAckAge {
 		return 0
 	}
-	return w.seen
+	return w.recordedEnd
 }
 
-// noteForgot takes note of the ends that a worker has forgotten, by the ones that it
-// still lists.
-func (w *worker) noteForgot(listed []provider.Ended) {
-	w.forgot = max(w.forgot, w.sentSeen)
+// updateForgottenEnd derives the highest end that the worker has forgotten from the ends
+// that it still lists.
+func (w *worker) updateForgottenEnd(listed []provider.Ended) {
+	w.forgottenEnd = max(w.forgottenEnd, w.sentAck)
 	for i := range listed {
-		w.forgot = min(w.forgot, listed[i].Number-1)
+		w.forgottenEnd = min(w.forgottenEnd, listed[i].Number-1)
 	}
 }
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -10,8 +10,8 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// incarnation returns the name of a worker's incarnation on record, by which it is told
-// from others of its ID.
+// incarnation returns the name of the worker's incarnation on record, which distinguishes
+// it from others with the same ID.
 func (w *worker) incarnation() string {
 	if w.born == 0 {
 		return w.host.ID
@@ -19,19 +19,19 @@
 	return w.host.ID + "@" + strconv.FormatUint(w.born, 10)
 }
 
-// replaced reports whether another incarnation of a worker answers than the one that
+// isReplacedBy reports whether an answer comes from another incarnation than the one that
 // answered before, or that is on record.
-func (w *worker) replaced(held *provider.Held) bool {
+func (w *worker) isReplacedBy(held *provider.Held) bool {
 	if w.born != 0 && held.Born != 0 {
 		return w.born != held.Born
 	}
-	return w.asked && held.Clock < w.clock
+	return w.answered && held.Clock < w.clock
 }
 
-// restart replaces a worker by its next incarnation, which has nothing of the one
-// before but its ID.
-func (c *Cell) restart(w *worker, held *provider.Held) {
-	c.note("worker restarted", "worker", w.host.ID, "born", held.Born, "before", w.born, "runs", len(w.runs))
+// handleRestart replaces a worker by its next incarnation, which shares nothing with it
+// but the ID.
+func (c *Cell) handleRestart(w *worker, held *provider.Held) {
+	c.logEvent("worker restarted", "worker", w.host.ID, "born", held.Born, "before", w.born, "runs", len(w.runs))
 	c.endIncarnation(w, "restarted")
 	next := c.workers[w.host.ID]
 	if next == nil {
@@ -40,88 +40,90 @@
 		next.listedUntil = w.listedUntil
 	}
 	c.survey.replace(w, next)
-	c.hold(next)
+	c.sendHold(next)
 }
 
-// nextToken returns the token of orders to the next incarnation of a worker: the term,
-// if this owner knows none before it. Each gets a higher one than those before it, so
-// that it carries out no order that was given to them and comes late. An owner that has
-// used all tokens below the next term gives the cell up.
+// nextToken returns the fencing token for orders to the next incarnation of a worker. It
+// is the owner's term unless this owner knows an earlier incarnation; each incarnation
+// gets a higher token than those before it, so that it rejects delayed orders to them. An
+// owner that has used up all tokens below the next term gives up the cell.
 func (c *Cell) nextToken(id string) uint64 {
-	token := max(c.self.Term, c.tokens[id])
+	token := max(c.self.Term, c.nextTokens[id])
 	if token >= catalog.NextTerm(c.self.Term) {
 		c.depose("worker " + id + " has restarted too often for one term")
 	}
 	return token
 }
 
-// addressee returns the worker that an order was given to, nil if that is lost, or may
-// have been followed by another incarnation since.
-func (c *Cell) addressee(id string, token uint64) *worker {
+// workerByToken returns the worker that an order with the token was sent to, nil if it is
+// lost or another incarnation may have replaced it since.
+func (c *Cell) workerByToken(id string, token uint64) *worker {
 	if w := c.workers[id]; w != nil && w.token == token {
 		return w
 	}
 	return nil
 }
 
-// fenced takes a refusal of an order that isn't the newest to its worker. It is another
-// owner's doing unless this owner has used a higher token.
-func (c *Cell) fenced(id string, token uint64, err error) {
-	newest := c.tokens[id] - 1
+// handleFenced handles an order that was rejected for a stale token. The cell is deposed
+// if the token is the highest that this owner has used for the worker, as another owner
+// must have used a higher one.
+func (c *Cell) handleFenced(id string, token uint64, err error) {
+	newest := c.nextTokens[id] - 1
 	if w := c.workers[id]; w != nil {
 		newest = w.token
 	}
-	if kindOf(err) == orderFenced && token == newest {
-		c.beaten(id)
+	if classifyOrderError(err) == orderFenced && token == newest {
+		c.deposeFenced(id)
 	}
 }
 
-// suspectRestart asks a worker at once whether it still is the incarnation that answered,
-// with a token above those of what is under way to it. The outcomes of that don't count
-// any more.
+// suspectRestart asks a worker at once whether it still is the incarnation that answered
+// before. The hold has a higher token than all orders in flight to the worker, whose
+// outcomes are ignored from now on.
 func (c *Cell) suspectRestart(w *worker) {
-	c.tokens[w.host.ID] = w.token + 1
+	c.nextTokens[w.host.ID] = w.token + 1
 	w.token = c.nextToken(w.host.ID)
-	w.holding = false
-	w.holdAt = c.now
+	w.holdInFlight = false
+	w.nextHoldAt = c.now
 }
 
-// assumeLease takes the lease of a worker that has restarted for as long as an order to
-// the incarnation before may have made it.
+// assumeLease extends the known lease of a restarted worker to the maximum that an order
+// to an earlier incarnation may have granted it.
 func (c *Cell) assumeLease(w *worker) {
 	if w.token > c.self.Term {
-		w.deadline = max(w.deadline, w.clock+c.timing.MaxLease.Milliseconds())
+		w.leaseDeadline = max(w.leaseDeadline, w.clock+c.timing.MaxLease.Milliseconds())
 	}
 }
 
-// orderTime is how long after it was given an order may still reach a worker: the
-// time-out of the order, of the instance that it is relayed by, and a margin.
-const orderTime = 2 * time.Second
+// maxOrderDelay is how long after it was given an order may still reach a worker: the
+// timeout of the order, that of the instance that relays it, and a margin.
+const maxOrderDelay = 2 * time.Second
 
-// mayBegin reports whether a start may still be carried out by the next incarnation of
-// its worker.
-func (c *Cell) mayBegin(r *run) bool {
-	return r.worker.born != 0 && r.task != nil && r.begunClock == 0 && c.now < r.began+orderTime
+// mayStillStart reports whether the next incarnation of the run's worker may still carry
+// out the start.
+func (c *Cell) mayStillStart(r *run) bool {
+	return r.worker.born != 0 && r.task != nil && r.startedClock == 0 && c.now < r.orderedAt+maxOrderDelay
 }
 
-// keepStart keeps a start that may still be carried out though its worker is lost. Its
-// task isn't started again before that is settled.
-func (c *Cell) keepStart(r *run) {
+// deferStart keeps a start that may still be carried out although its worker is lost. Its
+// task isn't started again until the start is resolved.
+func (c *Cell) deferStart(r *run) {
 	id := r.worker.host.ID
-	c.unsettled[id] = append(c.unsettled[id], r)
+	c.unresolvedStarts[id] = append(c.unresolvedStarts[id], r)
 }
 
-// settleStarts settles the starts that were under way to the incarnations before with the
-// first answer of a worker. What the worker tells of one counts.
-func (c *Cell) settleStarts(w *worker, held *provider.Held) {
-	starts := c.unsettled[w.host.ID]
+// resolveStarts resolves the starts in flight to earlier incarnations when a worker
+// answers for the first time. A start whose run the answer lists is dropped, as the run is
+// adopted; the others count as lost.
+func (c *Cell) resolveStarts(w *worker, held *provider.Held) {
+	starts := c.unresolvedStarts[w.host.ID]
 	if len(starts) == 0 {
 		return
 	}
-	delete(c.unsettled, w.host.ID)
-	told := attempts(held)
+	delete(c.unresolvedStarts, w.host.ID)
+	reported := reportedRuns(held)
 	for _, r := range starts {
-		if told[attempt{r.name, r.attempt}] {
+		if reported[runID{r.name, r.attempt}] {
 			c.removeRun(r)
 		} else {
 			c.endRun(r, provider.EndLost, "")
@@ -129,13 +131,13 @@
 	}
 }
 
-// settleStart takes the outcome of a start whose worker is lost. Only a refusal settles
-// it: a start that was accepted may run on the next incarnation.
-func (c *Cell) settleStart(in StartReply) {
+// resolveStart handles the outcome of a start whose worker is lost. Only a refusal
+// resolves it: an accepted start may run on the next incarnation.
+func (c *Cell) resolveStart(in StartReply) {
 	refused := in.Err == nil && in.Refusal != provider.Accepted || fault.Is(in.Err, fault.Unavailable)
-	for i, r := range c.unsettled[in.Host] {
+	for i, r := range c.unresolvedStarts[in.Host] {
 		if refused && r.name == in.Task && r.attempt == in.Attempt {
-			c.unsettled[in.Host] = slices.Delete(c.unsettled[in.Host], i, i+1)
+			c.unresolvedStarts[in.Host] = slices.Delete(c.unresolvedStarts[in.Host], i, i+1)
 			c.removeRun(r)
 			c.requeue(r.task)
 			return
@@ -143,38 +145,38 @@
 	}
 }
 
-// dropStarts ends the starts that can't be carried out any more.
-func (c *Cell) dropStarts() {
-	for id, starts := range inOrder(c.unsettled) {
-		var left []*run
+// expireStarts ends the unresolved starts that can't be carried out any more.
+func (c *Cell) expireStarts() {
+	for id, starts := range inOrder(c.unresolvedStarts) {
+		var remaining []*run
 		for _, r := range starts {
-			if c.mayBegin(r) {
-				left = append(left, r)
+			if c.mayStillStart(r) {
+				remaining = append(remaining, r)
 			} else {
 				c.endRun(r, provider.EndLost, "")
 			}
 		}
-		c.unsettled[id] = left
-		if len(left) == 0 {
-			delete(c.unsettled, id)
+		c.unresolvedStarts[id] = remaining
+		if len(remaining) == 0 {
+			delete(c.unresolvedStarts, id)
 		}
 	}
 }
 
-// attempt names a run.
-type attempt struct {
-	task   string
-	number uint64
+// runID identifies a run by its task and attempt.
+type runID struct {
+	task    string
+	attempt uint64
 }
 
-// attempts returns the runs that an answer tells of, running or ended.
-func attempts(held *provider.Held) map[attempt]bool {
-	told := make(map[attempt]bool, len(held.Running)+len(held.Ended))
+// reportedRuns returns the runs that an answer lists as running or ended.
+func reportedRuns(held *provider.Held) map[runID]bool {
+	reported := make(map[runID]bool, len(held.Running)+len(held.Ended))
 	for i := range held.Running {
-		told[attempt{held.Running[i].Task, held.Running[i].Attempt}] = true
+		reported[runID{held.Running[i].Task, held.Running[i].Attempt}] = true
 	}
 	for i := range held.Ended {
-		told[attempt{held.Ended[i].Task, held.Ended[i].Attempt}] = true
+		reported[runID{held.Ended[i].Task, held.Ended[i].Attempt}] = true
 	}
-	return told
+	return reported
 }
--- a/cell/input.go
+++ b/cell/input.go
@@ -8,20 +8,20 @@
 	"github.com/dogwoodladder/dogwoodladder/queue"
 )
 
-// Input is what a cell reacts to.
+// Input is an event that a cell reacts to.
 type Input interface{ input() }
 
-// Arrived is a job that was accepted or cancelled.
+// Arrived announces a job that was accepted or cancelled.
 type Arrived struct {
 	Entry catalog.Entry
 }
 
-// Hosts is the list of workers. Its AsOf is on the clock of Step.
+// Hosts carries the platform's list of workers. List.AsOf is on the clock of Step.
 type Hosts struct {
 	List provider.HostList
 }
 
-// Configured is a new configuration.
+// Configured carries a new configuration of the queues.
 type Configured struct {
 	Table *queue.Table
 }
@@ -30,7 +30,7 @@
 type HoldReply struct {
 	Host  string
 	Token uint64        // of the order
-	Sent  time.Duration // when it went out
+	Sent  time.Duration // when the order was sent
 	Held  provider.Held
 	Err   error
 }
@@ -41,7 +41,7 @@
 	Token   uint64 // of the order
 	Task    string
 	Attempt uint64
-	Sent    time.Duration // when it was ordered
+	Sent    time.Duration // when the order was sent
 	Refusal provider.Refusal
 	Err     error
 }
@@ -71,12 +71,13 @@
 	Err      error
 }
 
-// Waves are the waves of upkeep that the operators asked for.
+// Waves carries the maintenance waves that the operators requested.
 type Waves struct {
 	Waves []provider.Wave
 }
 
-// Cordoned are the availability zones whose workers get no new tasks, all of them.
+// Cordoned carries the complete set of cordoned availability zones, whose workers get no
+// new tasks.
 type Cordoned struct {
 	AvailabilityZones []string
 }
@@ -108,11 +109,11 @@
 // MachineList is the outcome of a ListMachines.
 type MachineList struct {
 	Machines []provider.Machine
-	Sent     time.Duration // when it was asked for
+	Sent     time.Duration // when the request was sent
 	Err      error
 }
 
-// Tick says that time has passed. Wall is the time of day, for schedules.
+// Tick reports that time has passed. Wall is the time of day, which schedules go by.
 type Tick struct {
 	Wall time.Time
 }
--- a/cell/job.go
+++ b/cell/job.go
@@ -11,83 +11,83 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// jobState is a job as its owner sees it.
+// jobState is the owner's state of a job.
 type jobState struct {
-	job         *job.Job
-	terms       job.Terms
-	progress    *progress.Progress
-	arrived     time.Duration
-	rounds      map[int]*round
-	chains      []time.Duration // longest chain of estimates from each step on
-	opened      int             // occurrences that were opened so far
-	delays      delay.Account   // of the tasks that ended last, step by step
-	claimed     bool            // it is on record that tasks may have been started
-	old         bool            // an earlier owner may have started tasks
-	unsure      bool            // some of them may have crashed a worker
-	changes     uint64          // of progress, so far
-	written     uint64          // of them, those on record
-	startChange uint64          // the last of them that puts a start on record before it is ordered
+	job             *job.Job
+	terms           job.Terms
+	progress        *progress.Progress
+	acceptedAt      time.Duration
+	rounds          map[int]*round
+	chains          []time.Duration // longest chain of estimates from each step on
+	openedCount     int             // occurrences opened so far
+	delays          delay.Account   // delays of the last task of each step
+	claimRecorded   bool            // it is on record that tasks may have been started
+	inherited       bool            // an earlier owner may have started tasks
+	mayHaveCrashed  bool            // one of them may have crashed a worker
+	changeCount     uint64          // changes of progress so far
+	savedChanges    uint64          // how many of them are on record
+	lastStartChange uint64          // number of the last change that puts a start on record before it is ordered
 }
 
 // round is one occurrence of a job.
 type round struct {
-	number int
-	steps  []*stepState
-	left   int // steps that aren't done
-	opened time.Duration
+	number    int
+	steps     []*stepState
+	stepsLeft int // steps that aren't done
+	openedAt  time.Duration
 }
 
 // stepState is one step of a round.
 type stepState struct {
-	job       *jobState
-	round     *round
-	number    int
-	spec      *job.Step
-	tasks     []*task
-	ready     []*task       // waiting to be started
-	queued    bool          // in Cell.waiting
-	tried     uint64        // number of the last look that found no worker for it, zero if none has
-	triedAt   time.Duration // when it was last checked against all workers
-	open      bool          // the steps it depends on are done
-	left      int           // tasks that aren't done
-	need      resource.Vector
-	inherited []*task         // tried by an earlier owner, with an outcome that isn't known
-	advice    *advice         // where the queue asks for it
-	onHost    map[*worker]int // runs by worker, kept for PerWorker
-	rank      ranking.Rank
+	job             *jobState
+	round           *round
+	number          int
+	spec            *job.Step
+	tasks           []*task
+	ready           []*task       // tasks waiting to be started
+	queued          bool          // whether it is in Cell.waitingSteps
+	lastFailedPass  uint64        // number of the last dispatch pass that found no worker for it, zero if none has
+	lastFullCheckAt time.Duration // when it was last checked against all workers
+	open            bool          // the steps it depends on are done
+	tasksLeft       int           // tasks that aren't done
+	need            resource.Vector
+	inheritedStarts []*task         // tasks with a recorded start by an earlier owner whose outcome is unknown
+	advice          *advice         // nil unless the queue requires advice
+	runsByWorker    map[*worker]int // number of runs by worker, for PerWorker
+	rank            ranking.Rank
 }
 
 // task is one task of a step.
 type task struct {
-	id          job.Task
-	name        string
-	step        *stepState
-	run         *run // the run that counts, nil while there is none
-	done        bool
-	queued      bool          // in step.ready
-	waits       time.Duration // since when it waits for its start
-	delays      delay.Account
-	starts      uint64
-	attempt     uint64                    // highest one seen or given
-	saved       string                    // newest checkpoint
-	suspect     bool                      // it may crash the worker that starts it
-	unsure      bool                      // its start by an earlier owner is on record, without an outcome
-	startChange uint64                    // change of the job's record that tells of its next start, zero if none does
-	kept        *keep                     // room that is kept for it while it is moved
-	shunned     map[*worker]time.Duration // where it failed or hung, until when
+	id           job.Task
+	name         string
+	step         *stepState
+	run          *run // the current run, nil while there is none
+	done         bool
+	queued       bool // whether it is in step.ready
+	waitingSince time.Duration
+	delays       delay.Account
+	startCount   uint64
+	attempt      uint64                    // highest attempt number seen or given out
+	checkpoint   string                    // newest checkpoint
+	suspect      bool                      // it may crash the worker that starts it
+	unresolved   bool                      // a start by an earlier owner is on record without an outcome
+	startChange  uint64                    // number of the job's change that records its next start, zero if none does
+	reservation  *reservation              // capacity reserved for its next start, nil if none is
+	avoidUntil   map[*worker]time.Duration // workers on which it failed or hung, and until when they are avoided
 }
 
-// final reports whether nothing is left to do for the job.
+// final reports whether the job has reached a final state.
 func (j *jobState) final() bool {
 	return j.progress.State.Final()
 }
 
-func (c *Cell) arrived(e catalog.Entry) {
+func (c *Cell) handleArrived(e catalog.Entry) {
 	j := c.jobs[e.Job.ID]
 	if j == nil {
 		e.Progress = progress.New(e.Job)
 		c.addJob(e)
-		c.note("job", "job", e.Job.ID, "queue", e.Job.Queue, "tasks", e.Job.Width(), "times", e.Job.Times, "cancelled", e.Cancelled)
+		c.logEvent("job", "job", e.Job.ID, "queue", e.Job.Queue, "tasks", e.Job.Width(), "times", e.Job.Times, "cancelled", e.Cancelled)
 		return
 	}
 	if e.Cancelled && !j.final() {
@@ -97,13 +97,13 @@
 
 func (c *Cell) addJob(e catalog.Entry) *jobState {
 	j := &jobState{
-		job:      e.Job,
-		terms:    c.termsOf(e.Job),
-		progress: e.Progress,
-		arrived:  c.now - c.age(e.Job),
-		rounds:   make(map[int]*round),
-		claimed:  e.Progress.Claimed,
-		old:      e.Progress.Claimed,
+		job:           e.Job,
+		terms:         c.termsOf(e.Job),
+		progress:      e.Progress,
+		acceptedAt:    c.now - c.age(e.Job),
+		rounds:        make(map[int]*round),
+		claimRecorded: e.Progress.Claimed,
+		inherited:     e.Progress.Claimed,
 	}
 	c.jobs[e.Job.ID] = j
 	if j.final() {
@@ -114,46 +114,47 @@
 		return j
 	}
 	if j.job.Scheduled() {
-		c.timed = append(c.timed, j)
+		c.scheduledJobs = append(c.scheduledJobs, j)
 		return j
 	}
-	j.opened = 1
+	j.openedCount = 1
 	c.openRound(j, 0)
 	return j
 }
 
-// age returns how long ago a job was accepted. That was at another instance,
-// by the time of day, so it is only a hint.
+// age returns how long ago a job was accepted. The acceptance time is a time of day at
+// another instance, so the age is only approximate.
 func (c *Cell) age(j *job.Job) time.Duration {
 	if c.wall.IsZero() || j.Accepted == 0 {
 		return 0
 	}
-	return max(0, min(mostAge, c.wall.Sub(time.UnixMilli(j.Accepted))))
+	return max(0, min(maxAge, c.wall.Sub(time.UnixMilli(j.Accepted))))
 }
 
-// mostAge bounds what a clock that is off can do to the order of jobs.
-const mostAge = time.Minute
+// maxAge limits the effect of a wrong clock on the order of jobs.
+const maxAge = time.Minute
 
 // openOccurrences opens the rounds of scheduled jobs that are due.
 func (c *Cell) openOccurrences() {
-	kept := c.timed[:0]
-	for _, j := range c.timed {
-		for !j.final() && j.opened < j.job.Occurrences() && j.job.Due(j.opened) <= c.wall.UnixMilli() {
-			c.openRound(j, j.opened)
-			j.opened++
+	kept := c.scheduledJobs[:0]
+	for _, j := range c.scheduledJobs {
+		for !j.final() && j.openedCount < j.job.Occurrences() && j.job.Due(j.openedCount) <= c.wall.UnixMilli() {
+			c.openRound(j, j.openedCount)
+			j.openedCount++
 		}
-		if !j.final() && j.opened < j.job.Occurrences() {
+		if !j.final() && j.openedCount < j.job.Occurrences() {
 			kept = append(kept, j)
 		}
 	}
-	c.timed = kept
+	c.scheduledJobs = kept
 }
 
+// openRound opens an occurrence of a job unless the record says that it is closed.
 func (c *Cell) openRound(j *jobState, number int) {
 	if j.progress.IsClosed(number) {
 		return
 	}
-	r := &round{number: number, left: len(j.job.Steps), opened: c.now}
+	r := &round{number: number, stepsLeft: len(j.job.Steps), openedAt: c.now}
 	for i := range j.job.Steps {
 		r.steps = append(r.steps, newStep(j, r, i))
 	}
@@ -170,13 +171,13 @@
 func newStep(j *jobState, r *round, number int) *stepState {
 	spec := &j.job.Steps[number]
 	s := &stepState{
-		job:    j,
-		round:  r,
-		number: number,
-		spec:   spec,
-		left:   spec.Count,
-		need:   spec.Reserved(),
-		onHost: make(map[*worker]int),
+		job:          j,
+		round:        r,
+		number:       number,
+		spec:         spec,
+		tasksLeft:    spec.Count,
+		need:         spec.Reserved(),
+		runsByWorker: make(map[*worker]int),
 	}
 	s.tasks = make([]*task, spec.Count)
 	for i := range s.tasks {
@@ -186,28 +187,28 @@
 	return s
 }
 
-// restore takes over what is on record of a step.
+// restore restores a step's state from the record.
 func (c *Cell) restore(s *stepState) {
 	for _, t := range s.tasks {
-		t.saved = s.job.progress.Saved(t.id)
+		t.checkpoint = s.job.progress.Saved(t.id)
 		t.restoreCrashes()
 		if s.job.progress.IsDone(t.id) {
 			t.done = true
-			s.left--
+			s.tasksLeft--
 		}
 	}
-	if s.left == 0 {
-		s.round.left--
+	if s.tasksLeft == 0 {
+		s.round.stepsLeft--
 	}
 }
 
-// openStep makes a step's tasks ready once the steps before it are done.
+// openStep queues a step's tasks once the steps it depends on are done.
 func (c *Cell) openStep(s *stepState) {
-	if s.open || s.left == 0 {
+	if s.open || s.tasksLeft == 0 {
 		return
 	}
 	for _, a := range s.spec.After {
-		if s.round.steps[a].left > 0 {
+		if s.round.steps[a].tasksLeft > 0 {
 			return
 		}
 	}
@@ -217,12 +218,12 @@
 	}
 }
 
-// begin returns when a round could begin.
-func (j *jobState) begin(r *round) time.Duration {
+// startableSince returns since when a round could have been started.
+func (j *jobState) startableSince(r *round) time.Duration {
 	if j.job.Scheduled() {
-		return r.opened
+		return r.openedAt
 	}
-	return j.arrived
+	return j.acceptedAt
 }
 
 // chain returns the estimated length of the longest chain of steps.
@@ -234,16 +235,16 @@
 	return longest
 }
 
-// chainFrom returns the estimated length of the longest chain that begins with
-// a step.
+// chainFrom returns the estimated length of the longest chain that begins with a step.
 func (j *jobState) chainFrom(step int) time.Duration {
 	if j.chains == nil {
-		j.chains = chains(j.job.Steps)
+		j.chains = chainLengths(j.job.Steps)
 	}
 	return j.chains[step]
 }
 
-func chains(steps []job.Step) []time.Duration {
+// chainLengths returns the estimated length of the longest chain from each step on.
+func chainLengths(steps []job.Step) []time.Duration {
 	lengths := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
 		lengths[i] += steps[i].Estimate
@@ -254,23 +255,23 @@
 	return lengths
 }
 
-// enqueue makes a task wait for its start.
+// enqueue queues a task for its start.
 func (c *Cell) enqueue(t *task) {
 	s := t.step
 	if t.queued || t.done || t.run != nil || !s.open || s.job.final() {
 		return
 	}
 	t.queued = true
-	t.waits = c.now
+	t.waitingSince = c.now
 	s.ready = append(s.ready, t)
-	c.changed = true
+	c.needsDispatch = true
 	if !s.queued {
-		c.await(s)
+		c.insertWaiting(s)
 	}
 }
 
-// doneTask takes note that a task is done.
-func (c *Cell) doneTask(t *task) {
+// completeTask marks a task as done, and its step and round if it was the last one.
+func (c *Cell) completeTask(t *task) {
 	if t.done {
 		return
 	}
@@ -278,38 +279,38 @@
 	c.unqueue(t)
 	s := t.step
 	s.job.progress.Done(t.id)
-	c.saves.dirty(s.job)
-	s.left--
-	if s.left > 0 {
+	c.writer.markDirty(s.job)
+	s.tasksLeft--
+	if s.tasksLeft > 0 {
 		return
 	}
 	s.job.delays.Join(&t.delays)
-	s.round.left--
+	s.round.stepsLeft--
 	for _, next := range s.round.steps {
 		c.openStep(next)
 	}
 	c.closeRound(s.job, s.round)
 }
 
-// closeRound ends an occurrence that is done, and its job with the last one.
+// closeRound closes an occurrence if it is done, and completes its job with the last one.
 func (c *Cell) closeRound(j *jobState, r *round) {
-	if r.left > 0 || j.final() {
+	if r.stepsLeft > 0 || j.final() {
 		return
 	}
 	delete(j.rounds, r.number)
 	j.progress.Close(r.number)
-	c.saves.dirty(j)
+	c.writer.markDirty(j)
 	if len(j.progress.Closed) == j.job.Occurrences() {
 		c.finish(j, progress.Completed)
 	}
 }
 
-// finish makes a job's state final.
+// finish puts a job into a final state and stops its runs.
 func (c *Cell) finish(j *jobState, state progress.State) {
 	j.progress.State = state
 	j.progress.Ended = c.wall.UnixMilli()
-	c.saves.dirty(j)
-	c.noteEnd(j)
+	c.writer.markDirty(j)
+	c.logJobEnd(j)
 	for _, r := range inOrder(j.rounds) {
 		for _, s := range r.steps {
 			s.ready = nil
@@ -318,14 +319,14 @@
 			}
 		}
 	}
-	c.stopAll(j)
+	c.stopRuns(j)
 }
 
 func (c *Cell) cancel(j *jobState) {
 	c.finish(j, progress.Cancelled)
 }
 
-func (c *Cell) stopAll(j *jobState) {
+func (c *Cell) stopRuns(j *jobState) {
 	for _, r := range inOrder(j.rounds) {
 		for _, s := range r.steps {
 			for _, t := range s.tasks {
@@ -337,28 +338,28 @@
 	}
 }
 
-// failTask counts a failed attempt, and fails the job with the last one that
-// its queue allows. Lasting tasks have no such bound.
+// failTask counts a failed attempt, and fails the job when the attempts that its queue
+// allows are used up. Lasting tasks may fail any number of times.
 func (c *Cell) failTask(t *task, attempt uint64) {
 	s := t.step
-	counted := t.id
+	countedTask := t.id
 	if s.spec.Gang {
-		counted.Index = 0 // members that fail together count once
+		countedTask.Index = 0 // members that fail together count once
 	}
-	if s.spec.Lasting || !s.job.progress.Fail(counted, attempt) {
+	if s.spec.Lasting || !s.job.progress.Fail(countedTask, attempt) {
 		return
 	}
-	c.saves.dirty(s.job)
-	n := s.job.progress.Failures(counted)
+	c.writer.markDirty(s.job)
+	n := s.job.progress.Failures(countedTask)
 	if n < max(1, s.job.terms.Attempts) || s.job.final() {
 		return
 	}
-	c.note("attempts used up", "task", t.name, "failures", n)
+	c.logEvent("attempts used up", "task", t.name, "failures", n)
 	c.finish(s.job, progress.Failed)
 }
 
-// find returns a task by its name, nil if it isn't known.
-func (c *Cell) find(name string) *task {
+// findTask returns a task by its name, nil if it isn't known.
+func (c *Cell) findTask(name string) *task {
 	id, err := job.ParseTask(name)
 	if err != nil {
 		return nil
--- a/cell/behind_test.go
+++ b/cell/lag_test.go
@@ -11,8 +11,8 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// told returns by how much the last owner told to lag, as of its last record.
-func (s *site) told() time.Duration {
+// reportedLag returns the lag in the owner's last record of its backlog.
+func (s *site) reportedLag() time.Duration {
 	known := catalog.New()
 	for _, r := range s.store.progress {
 		s.noError(known.Progress(r))
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a backlog that the instances which accept jobs don't hear of.
-func TestOwnerTellsOfItsBacklog(t *testing.T) {
+// Guards against a backlog that isn't reported to the instances that accept jobs.
+func TestOwnerReportsBacklog(t *testing.T) {
 	const rate = 2_000_000 / 8
 	tests := []struct {
 		name    string
@@ -51,15 +51,15 @@
 					s.submit(&job.Job{ID: jobID(i), Spec: spec, Steps: []job.Step{step(20, 1)}})
 				})
 			}
-			s.owners[0].take()
+			s.owners[0].takeOver()
 			s.run(5 * time.Second)
-			lag := s.told()
+			lag := s.reportedLag()
 			t.Logf("lags by %v", lag)
 			is.Equal(lag > time.Second, test.behind)
 			if test.workers > 2 {
-				s.run(quiet)
+				s.run(settleTime)
 				s.mustComplete(100)
-				is.Equal(s.told(), time.Duration(0))
+				is.Equal(s.reportedLag(), time.Duration(0))
 			}
 		})
 	}
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -16,32 +16,32 @@
 const (
 	orderBytes  = 350 // without the spec
 	answerBytes = 200
-	rowBytes    = 70 // of a run or an end in an answer to a hold
+	rowBytes    = 70 // of a run or an end in the answer to a hold
 )
 
-// link is the owners' network link: what is sent waits until what was sent
-// before has passed, in either direction.
+// link is the network link of the owners. In each direction, a message waits until the
+// previous ones have been transmitted.
 type link struct {
 	rate     int // bytes a second
 	upFree   time.Duration
 	downFree time.Duration
 }
 
-func (l *link) pass(free *time.Duration, now time.Duration, bytes int) time.Duration {
+func (l *link) transmit(free *time.Duration, now time.Duration, bytes int) time.Duration {
 	*free = max(now, *free) + time.Duration(bytes)*time.Second/time.Duration(l.rate)
 	return *free - now
 }
 
-// up returns how long bytes of an order are on the link.
-func (l *link) up(now time.Duration, bytes int) time.Duration {
+// upDelay returns how long an order takes on the link.
+func (l *link) upDelay(now time.Duration, bytes int) time.Duration {
 	if l == nil {
 		return 0
 	}
-	return l.pass(&l.upFree, now, bytes)
+	return l.transmit(&l.upFree, now, bytes)
 }
 
-// down returns the same of an answer.
-func (l *link) down(now time.Duration, answer any) time.Duration {
+// downDelay returns how long an answer takes on the link.
+func (l *link) downDelay(now time.Duration, answer any) time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -49,33 +49,34 @@
 	if held, ok := answer.(provider.Held); ok {
 		bytes += rowBytes * (len(held.Running) + len(held.Ended))
 	}
-	return l.pass(&l.downFree, now, bytes)
+	return l.transmit(&l.downFree, now, bytes)
 }
 
-// firstOutcome returns a back that drops all but the first outcome of an
-// order, and that there is no answer if none comes in time.
-func (s *site) firstOutcome(wait time.Duration, back func(any, error)) func(any, error) {
+// firstOutcome wraps report so that it passes on only the first outcome of an order, and a
+// timeout if there is none in time.
+func (s *site) firstOutcome(wait time.Duration, report func(any, error)) func(any, error) {
 	settled := false
 	once := func(out any, err error) {
 		if !settled {
 			settled = true
-			back(out, err)
+			report(out, err)
 		}
 	}
 	s.after(wait+timeout, func() { once(nil, fault.New(fault.MayHaveRun, "no answer")) })
 	return once
 }
 
-// Guards against more orders than a narrow link carries, and reports that come late behind them.
+// Guards against sending more orders than a narrow link carries, so that reports queue
+// behind them and arrive late.
 func TestNarrowLink(t *testing.T) {
 	const (
-		workers = 140
-		rate    = 2_000_000 / 8
-		jobs    = 80
-		each    = 250 * time.Millisecond
-		width   = 20
-		surge   = 30
-		span    = jobs*each + 10*time.Second
+		workers  = 140
+		rate     = 2_000_000 / 8
+		jobs     = 80
+		interval = 250 * time.Millisecond
+		width    = 20
+		surge    = 30
+		span     = jobs*interval + 10*time.Second
 	)
 	is := is.New(t)
 	s := newSite(t, 1, workers, 1)
@@ -87,20 +88,20 @@
 		}
 	}
 	for i := range jobs {
-		s.after(time.Duration(i)*each, func() { submit(1, i) })
+		s.after(time.Duration(i)*interval, func() { submit(1, i) })
 	}
-	s.after(jobs/2*each, func() { submit(surge, jobs) })
-	lapsed := 0
-	s.owners[0].noted = func(event string) {
+	s.after(jobs/2*interval, func() { submit(surge, jobs) })
+	endedLeases := 0
+	s.owners[0].onLog = func(event string) {
 		if event == "lease ended" {
-			lapsed++
+			endedLeases++
 		}
 	}
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.run(span)
-	t.Logf("%d tasks ended well, %d were started again after it, %d leases ended", len(s.ran), s.again, lapsed)
-	is.Equal(s.broken, nil)
-	is.Equal(s.again, 0)
-	is.Equal(lapsed, 0)
+	t.Logf("%d tasks ended well, %d were started again after it, %d leases ended", len(s.completed), s.restartedAfterDone, endedLeases)
+	is.Equal(s.violations, nil)
+	is.Equal(s.restartedAfterDone, 0)
+	is.Equal(endedLeases, 0)
 	s.mustComplete(jobs + surge)
 }
--- a/cell/load.go
+++ b/cell/load.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// reportEvery is the time between two lines on the cell's load.
-const reportEvery = time.Second
+// loadLogInterval is the time between two log lines on the cell's load.
+const loadLogInterval = time.Second
 
-// reportLoad logs how full the workers are and what waits.
-func (c *Cell) reportLoad() {
-	if c.now-c.reported < reportEvery {
+// logLoad logs the utilization of the workers and the size of the queue.
+func (c *Cell) logLoad() {
+	if c.now-c.lastLoadLogAt < loadLogInterval {
 		return
 	}
-	c.reported = c.now
+	c.lastLoadLogAt = c.now
 	var processors, memory, wholeProcessors, wholeMemory, filling int64
-	usable, serving, images, runs, over := 0, 0, 0, 0, 0
+	usable, serving, images, runs, overTarget := 0, 0, 0, 0, 0
 	for _, w := range c.everyWorker() {
 		processors += w.used.Processors
 		memory += w.used.Memory
-		filling += w.filling
+		filling += w.fillingProcessors
 		wholeProcessors += w.host.Capacity.Processors
 		wholeMemory += w.host.Capacity.Memory
 		runs += len(w.runs)
-		over += w.overTarget()
-		if c.usable(w) {
+		overTarget += w.countOverTarget()
+		if c.isUsable(w) {
 			usable++
 		}
-		if w.serving > 0 {
+		if w.servingCount > 0 {
 			serving++
 			images += len(w.images)
 		}
 	}
-	waiting, fills := 0, 0
-	for _, s := range c.waiting {
+	waiting, fillingWaiting := 0, 0
+	for _, s := range c.waitingSteps {
 		waiting += len(s.ready)
 		if s.spec.Fills {
-			fills += len(s.ready)
+			fillingWaiting += len(s.ready)
 		}
 	}
-	c.note("load", "waiting", waiting, "filling_waiting", fills, "checks", c.looks.total, "runs", runs, "listed", len(c.list.newest.Hosts), "workers", len(c.workers), "usable", usable, "serving", serving, "images", images, "over", over,
+	c.logEvent("load", "waiting", waiting, "filling_waiting", fillingWaiting, "checks", c.passes.totalChecks, "runs", runs, "listed", len(c.hosts.latest.Hosts), "workers", len(c.workers), "usable", usable, "serving", serving, "images", images, "over", overTarget,
 		"processors", percent(processors, wholeProcessors), "memory", percent(memory, wholeMemory), "filling", percent(filling, wholeProcessors),
-		"starts_unanswered", c.flow.inFlight, "starts_bound", c.flow.bound.Value(), "behind", c.toldBacklog)
+		"starts_unanswered", c.startLimiter.inFlight, "starts_bound", c.startLimiter.limit.Value(), "behind", c.backlogReported)
 }
 
 func percent(part, whole int64) int64 {
@@ -48,15 +48,15 @@
 	return part * 100 / whole
 }
 
-// overTarget returns how many of a worker's serving tasks were last reported
-// over their target.
-func (w *worker) overTarget() int {
-	if w.serving == 0 {
+// countOverTarget returns how many of a worker's serving tasks exceeded their target in
+// the last report.
+func (w *worker) countOverTarget() int {
+	if w.servingCount == 0 {
 		return 0
 	}
 	n := 0
 	for _, r := range w.runs {
-		if r.serves() && r.percent >= wholePercent && r.tail > r.task.step.spec.Target {
+		if r.isServing() && r.percent >= fullPercent && r.tail > r.task.step.spec.Target {
 			n++
 		}
 	}
--- a/cell/machines.go
+++ b/cell/machines.go
@@ -7,88 +7,91 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Times of questions about machines. The platform takes a few dozen a second
-// from all instances together, and each is paid for.
+// Intervals of requests for the list of machines. The platform accepts a few dozen
+// requests a second from all instances together, and each of them costs money.
 const (
-	askAfter = 400 * time.Millisecond // of a worker's silence
-	askEvery = 700 * time.Millisecond
+	silenceBeforeQuery  = 400 * time.Millisecond
+	machineListInterval = 700 * time.Millisecond
 )
 
-// askMachines asks the platform what became of workers that are silent. One
-// whose machine is off, or carries another worker, runs nothing any more, so its
-// tasks needn't wait for the end of its lease.
-func (c *Cell) askMachines() {
-	if c.asking || c.now-c.askedAt < askEvery || !c.doubts() {
+// requestMachineList asks the platform about the machines of silent workers. A worker
+// whose machine is off, or runs another worker, has no running tasks, so its tasks needn't
+// wait for its lease to expire.
+func (c *Cell) requestMachineList() {
+	if c.machineListInFlight || c.now-c.lastMachineListAt < machineListInterval || !c.hasDoubtfulWorker() {
 		return
 	}
-	c.asking = true
-	c.askedAt = c.now
-	c.do(ListMachines{})
+	c.machineListInFlight = true
+	c.lastMachineListAt = c.now
+	c.emit(ListMachines{})
 }
 
-// doubts reports whether any worker's silence holds something up.
-func (c *Cell) doubts() bool {
+// hasDoubtfulWorker reports whether any worker is doubtful.
+func (c *Cell) hasDoubtfulWorker() bool {
 	for _, w := range c.everyWorker() {
-		if c.doubtful(w) {
+		if c.isDoubtful(w) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Cell) doubtful(w *worker) bool {
-	if w.misses == 0 || c.now-w.heard < askAfter {
+// isDoubtful reports whether a worker has been silent for long enough to ask about its
+// machine, and holds up runs or the survey.
+func (c *Cell) isDoubtful(w *worker) bool {
+	if w.missedHolds == 0 || c.now-w.lastContact < silenceBeforeQuery {
 		return false
 	}
-	_, open := c.survey.open[w]
-	return open || len(w.runs) > 0
+	_, pending := c.survey.pending[w]
+	return pending || len(w.runs) > 0
 }
 
-// machines takes the platform's list of machines. It says nothing of a worker
-// that was heard after it was asked for: the list may tell of the incarnation
-// before, whose end would have this one's tasks started again while they run.
-func (c *Cell) machines(in MachineList) {
-	c.asking = false
+// handleMachineList applies the platform's list of machines. The list is ignored for a
+// worker that answered after the request was sent: it may describe the previous
+// incarnation, and losing the worker for that would start its tasks again while they run.
+func (c *Cell) handleMachineList(in MachineList) {
+	c.machineListInFlight = false
 	if in.Err != nil {
-		c.note("machines not listed", "err", in.Err)
+		c.logEvent("machines not listed", "err", in.Err)
 		return
 	}
-	by := make(map[string]*provider.Machine, len(in.Machines))
-	odd := 0
+	byMachine := make(map[string]*provider.Machine, len(in.Machines))
+	unknown := 0
 	for i := range in.Machines {
 		m := &in.Machines[i]
-		by[m.ID] = m
+		byMachine[m.ID] = m
 		if m.State == provider.MachineUnknown {
-			odd++
+			unknown++
 		}
 	}
-	if odd > 0 {
-		c.note("machines not understood", "machines", odd)
+	if unknown > 0 {
+		c.logEvent("machines not understood", "machines", unknown)
 	}
-	c.noteMachinesDown(in, by)
+	c.recordMachinesDown(in, byMachine)
 	for _, w := range c.everyWorker() {
-		if c.doubtful(w) && w.host.Machine != "" && w.heard < in.Sent {
-			c.judgeMachine(w, cmp.Or(by[w.host.Machine], by[""]))
+		if c.isDoubtful(w) && w.host.Machine != "" && w.lastContact < in.Sent {
+			c.checkMachine(w, cmp.Or(byMachine[w.host.Machine], byMachine[""]))
 		}
 	}
 }
 
-func (c *Cell) judgeMachine(w *worker, m *provider.Machine) {
-	reason := whyDown(w, m)
+// checkMachine loses a worker whose machine is down.
+func (c *Cell) checkMachine(w *worker, m *provider.Machine) {
+	reason := downReason(w, m)
 	switch {
 	case reason != "":
-		c.lose(w, reason)
+		c.loseWorker(w, reason)
 	case m.State == provider.MachineUnknown:
-		// nothing is known of it
-	case !w.vouched:
-		w.vouched = true
-		c.note("machine up", "worker", w.host.ID, "machine", m.ID, "silent", c.now-w.heard)
+		// the list doesn't tell whether it is up
+	case !w.machineUp:
+		w.machineUp = true
+		c.logEvent("machine up", "worker", w.host.ID, "machine", m.ID, "silent", c.now-w.lastContact)
 	}
 }
 
-// whyDown tells why a worker is down by what the platform says of its
-// machine; it is empty where that doesn't follow.
-func whyDown(w *worker, m *provider.Machine) string {
+// downReason returns why a worker must be down according to its machine's entry, or an
+// empty string if it may be up. A nil machine isn't on the list.
+func downReason(w *worker, m *provider.Machine) string {
 	switch {
 	case m == nil:
 		return "machine is gone"
--- a/cell/order.go
+++ b/cell/order.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// inOrder ranges over a map by its keys' order, so that the same inputs give
-// the same actions.
+// inOrder iterates over a map in the order of its keys, so that equal inputs produce equal
+// actions.
 func inOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -19,14 +19,14 @@
 	}
 }
 
-// everyWorker returns the workers in a fixed order. The slice isn't changed
-// when workers come or go.
+// everyWorker returns the workers sorted by ID. The returned slice isn't modified when
+// workers are added or dropped.
 func (c *Cell) everyWorker() []*worker {
-	if c.all == nil {
-		c.all = make([]*worker, 0, len(c.workers))
+	if c.sortedWorkers == nil {
+		c.sortedWorkers = make([]*worker, 0, len(c.workers))
 		for _, w := range inOrder(c.workers) {
-			c.all = append(c.all, w)
+			c.sortedWorkers = append(c.sortedWorkers, w)
 		}
 	}
-	return c.all
+	return c.sortedWorkers
 }
--- a/cell/quarantine_test.go
+++ b/cell/quarantine_test.go
@@ -9,13 +9,14 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// Guards against sound workers in quarantine by chance, or unhealthy ones that get tasks.
+// Guards against healthy workers that are quarantined by chance, and unhealthy ones that
+// get tasks.
 func TestQuarantine(t *testing.T) {
 	tests := []struct {
-		name  string
-		until time.Duration // the worker fails what ends there until then
-		least int           // tasks that it completes
-		most  int           // failures there
+		name      string
+		until     time.Duration // the worker fails what ends there until then
+		minDone   int           // tasks that it completes
+		maxFailed int           // failures there
 	}{
 		{"two failures by chance", 1500 * time.Millisecond, 55, 8},
 		{"unhealthy for long", 20 * time.Second, 0, 12},
@@ -24,9 +25,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 1, 4, 1)
-			s.length = func(string) time.Duration { return 500 * time.Millisecond }
+			s.duration = func(string) time.Duration { return 500 * time.Millisecond }
 			failed, done := 0, 0
-			s.unhealthy = func(w *fakeWorker) bool {
+			s.isUnhealthy = func(w *fakeWorker) bool {
 				if w.number != 0 {
 					return false
 				}
@@ -42,13 +43,13 @@
 					s.submit(&job.Job{ID: jobID(i), Spec: "x", Steps: []job.Step{step(4, 2)}})
 				})
 			}
-			s.owners[0].take()
+			s.owners[0].takeOver()
 			s.run(12 * time.Second)
 			t.Logf("failed %d, done %d", failed, done)
-			is.Equal(s.broken, nil)
-			is.True(done >= tt.least)
-			is.True(failed <= tt.most)
-			s.run(quiet)
+			is.Equal(s.violations, nil)
+			is.True(done >= tt.minDone)
+			is.True(failed <= tt.maxFailed)
+			s.run(settleTime)
 			s.mustComplete(100)
 		})
 	}
