--- a/cell/records_test.go
+++ b/cell/records_test.go
@@ -23,8 +23,9 @@
 	return data
 }
 
-// odd are records in our own streams as another version or hand may write them.
-var odd = []struct {
+// malformedRecords are malformed or unknown records in the cell's own streams, as another
+// version or a manual edit may leave them.
+var malformedRecords = []struct {
 	name, stream, key string
 	value             []byte
 }{
@@ -52,43 +53,43 @@
 
 var zero float32
 
-// Guards against records of another version that end each owner.
-func TestOddRecordsOfOurStreams(t *testing.T) {
-	for _, tt := range odd {
-		if err := playOdd(t, tt.stream, provider.KeyedRecord{Key: tt.key, Value: tt.value}); err != "" {
+// Guards against records of another version that crash each owner.
+func TestMalformedRecords(t *testing.T) {
+	for _, tt := range malformedRecords {
+		if err := playMalformedRecord(t, tt.stream, provider.KeyedRecord{Key: tt.key, Value: tt.value}); err != "" {
 			t.Errorf("%s: %s", tt.name, err)
 		}
 	}
 }
 
-// playOdd plays a day with an odd record on record before it begins. It returns
-// what went wrong.
-func playOdd(t *testing.T, stream string, r provider.KeyedRecord) (wrong string) {
+// playMalformedRecord runs a site with a malformed record on record from the beginning. It
+// returns what went wrong, if anything.
+func playMalformedRecord(t *testing.T, stream string, r provider.KeyedRecord) (problem string) {
 	is := is.New(t)
 	defer func() {
 		if p := recover(); p != nil {
-			wrong = fmt.Sprintf("the owner ended: %v", p)
+			problem = fmt.Sprintf("the owner ended: %v", p)
 		}
 	}()
 	s := newSite(t, 600, 3, 1)
-	fill(s, 3)
+	submitJobs(s, 3)
 	wide := &job.Job{ID: jobID(3), Spec: "x", Steps: []job.Step{step(30, 1)}}
 	s.submit(wide)
 	known := catalog.New()
 	for _, a := range s.store.accepts {
 		is.NoErr(known.Accept(a))
 	}
-	_ = foldOf(known, stream)(r) // what is wrong with it is logged by its reader
-	if err := s.owners[0].own(known); err != nil {
+	_ = readerOf(known, stream)(r) // what is wrong with it is logged by its reader
+	if err := s.owners[0].takeOverWith(known); err != nil {
 		return "the cell isn't taken: " + err.Error()
 	}
-	s.run(quiet)
-	for _, b := range s.broken {
+	s.run(settleTime)
+	for _, b := range s.violations {
 		return b
 	}
 	for i := range 4 {
 		if i == 1 && r.Key == "p/"+jobID(1) {
-			continue // it is what the record says of it
+			continue // its state is whatever the record says
 		}
 		if state := s.state(jobID(i)); state != "completed" {
 			return "job " + jobID(i) + " is " + state
@@ -97,8 +98,8 @@
 	return ""
 }
 
-// foldOf returns what takes the records of a stream.
-func foldOf(known *catalog.Catalog, stream string) func(provider.KeyedRecord) error {
+// readerOf returns the function that reads the records of a stream.
+func readerOf(known *catalog.Catalog, stream string) func(provider.KeyedRecord) error {
 	if stream == catalog.Accepts {
 		return known.Accept
 	}
@@ -106,7 +107,7 @@
 }
 
 func FuzzRecords(f *testing.F) {
-	for _, tt := range odd {
+	for _, tt := range malformedRecords {
 		f.Add(tt.stream, tt.key, tt.value)
 	}
 	f.Fuzz(func(t *testing.T, stream, key string, value []byte) {
@@ -117,7 +118,7 @@
 			t.Fatal(err)
 		}
 		_ = known.Accept(accepted)
-		_ = foldOf(known, stream)(provider.KeyedRecord{Key: key, Value: value}) // what is wrong with it is logged by its reader
+		_ = readerOf(known, stream)(provider.KeyedRecord{Key: key, Value: value}) // what is wrong with it is logged by its reader
 		c, err := cell.New(cell.Self{Instance: "e", Term: 1, Sequence: 1}, cell.DefaultTiming(), known, 0, wall(0))
 		if err != nil {
 			t.Fatal(err)
--- a/cell/relocate_test.go
+++ b/cell/relocate_test.go
@@ -9,8 +9,8 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// serving returns a job of one task that serves users.
-func serving(n int, image string, cores int64) *job.Job {
+// servingJob returns a lasting job of one task with a latency target.
+func servingJob(n int, image string, cores int64) *job.Job {
 	j := &job.Job{ID: jobID(n), Spec: "x", Steps: []job.Step{step(1, cores)}}
 	j.Steps[0].Lasting = true
 	j.Steps[0].Image = image
@@ -18,33 +18,34 @@
 	return j
 }
 
-// Guards against filling tasks that wait as serving tasks of many images are mixed.
-func TestServingTasksAreMovedToTheirLike(t *testing.T) {
+// Guards against filling tasks that wait because serving tasks of different images share
+// workers.
+func TestServingTasksAreMovedToTheirImage(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 2, 1)
-	s.length = func(task string) time.Duration {
-		if s.lasts(task) {
+	s.duration = func(task string) time.Duration {
+		if s.isLasting(task) {
 			return time.Hour
 		}
 		return 2 * time.Second
 	}
-	// Rebuilds slow tasks of image "mind" down, and none of image "bear".
+	// Filling tasks slow down the tasks of image "mind", and none of image "bear".
 	s.tail = func(task string, w *fakeWorker) time.Duration {
 		slack := 4.0
 		if s.stepOf(task).Image == "mind" {
 			for name, r := range w.runs {
 				if s.stepOf(name).Fills {
-					slack -= 12 * float64(s.uses(name)) / workerCores * float64(r.pace) / 100
+					slack -= 12 * float64(s.processorsOf(name)) / workerCores * float64(r.pace) / 100
 				}
 			}
 		}
 		return time.Duration(float64(10*time.Millisecond) / max(0.1, slack))
 	}
-	s.owners[0].take()
-	s.submit(serving(1, "mind", 5))
-	s.after(500*time.Millisecond, func() { s.submit(serving(2, "mind", 3)) })  // fills the worker of job 1
-	s.after(1000*time.Millisecond, func() { s.submit(serving(3, "bear", 4)) }) // on the other one
-	s.after(1500*time.Millisecond, func() { s.submit(serving(4, "mind", 3)) }) // beside it, as nothing else has room
+	s.owners[0].takeOver()
+	s.submit(servingJob(1, "mind", 5))
+	s.after(500*time.Millisecond, func() { s.submit(servingJob(2, "mind", 3)) })  // uses up the worker of job 1
+	s.after(1000*time.Millisecond, func() { s.submit(servingJob(3, "bear", 4)) }) // on the other one
+	s.after(1500*time.Millisecond, func() { s.submit(servingJob(4, "mind", 3)) }) // beside it, as nothing else has free capacity
 	rebuild := &job.Job{ID: jobID(5), Spec: "x", Steps: []job.Step{step(24, 2)}}
 	rebuild.Steps[0].Fills = true
 	rebuild.Steps[0].Image = "rebuild"
@@ -53,12 +54,12 @@
 	s.run(4900 * time.Millisecond)
 	is.True(s.workerOf(jobID(4)) == s.workerOf(jobID(3)))
 	s.run(15 * time.Second)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.True(s.workerOf(jobID(4)) == s.workerOf(jobID(1)))
 	is.Equal(s.state(jobID(5)), "completed")
 }
 
-// workerOf returns the worker on which the only task of a job runs.
+// workerOf returns the worker that runs the only task of a job.
 func (s *site) workerOf(id string) *fakeWorker {
 	for _, w := range s.workers {
 		if w.runs[id+".0.0.0"] != nil {
--- a/cell/report.go
+++ b/cell/report.go
@@ -5,15 +5,15 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// takeRuns takes the list of what runs on a worker.
-func (c *Cell) takeRuns(w *worker, running []provider.Run) {
+// handleRuns applies the list of runs in a worker's report.
+func (c *Cell) handleRuns(w *worker, running []provider.Run) {
 	for i := range running {
-		c.takeRun(w, &running[i])
+		c.handleRun(w, &running[i])
 	}
 	c.reportServing(w)
 }
 
-func (c *Cell) takeRun(w *worker, p *provider.Run) {
+func (c *Cell) handleRun(w *worker, p *provider.Run) {
 	r := w.runs[p.Task]
 	if r == nil || r.attempt != p.Attempt {
 		r = c.adopt(w, p)
@@ -21,28 +21,28 @@
 	if r.state == runStarting {
 		r.state = runRunning
 	}
-	r.listed(w.clock)
+	r.recordListed(w.clock)
 	c.checkTrial(r)
 	if p.Percent != r.percent {
 		r.percent = p.Percent
-		r.advanced = c.now
+		r.advancedAt = c.now
 	}
 	if r.task == nil {
 		return
 	}
 	if p.Checkpoint != "" {
-		r.task.saved = p.Checkpoint
+		r.task.checkpoint = p.Checkpoint
 	}
 	r.tail = p.Tail
-	r.use = p.Processors
+	r.processorsUsed = p.Processors
 }
 
-// adopt takes over a run that an earlier owner started. One that no job
-// needs, or that has been started elsewhere since, is stopped.
+// adopt takes over a run that an earlier owner started. A run that no job needs, or whose
+// task has been started elsewhere since, is stopped.
 func (c *Cell) adopt(w *worker, p *provider.Run) *run {
-	t := c.find(p.Task)
+	t := c.findTask(p.Task)
 	if old := w.runs[p.Task]; old != nil {
-		c.removeRun(old) // a lower attempt than the one listed can't be there too
+		c.removeRun(old) // a worker runs only one attempt of a task
 	}
 	wanted := t != nil && !t.done && t.run == nil && !t.step.job.final()
 	if !wanted {
@@ -52,18 +52,18 @@
 	r := c.addRun(t, p.Task, w, p.Attempt)
 	r.state = runRunning
 	t.attempt = max(t.attempt, p.Attempt)
-	c.begun(t.step.job)
+	c.markRunning(t.step.job)
 	c.adoptTrial(r)
-	if r.fills() {
+	if r.isFilling() {
 		r.pace = unknownPace
 	}
-	c.note("adopted", "task", p.Task, "attempt", p.Attempt, "worker", w.host.ID)
+	c.logEvent("adopted", "task", p.Task, "attempt", p.Attempt, "worker", w.host.ID)
 	return r
 }
 
-// reject stops a run that nobody needs. What it takes of the worker is known
-// from its job, also if that has ended; a run of no job known is taken for one
-// that fills the worker.
+// reject stops a run that isn't needed. The capacity that it uses is taken from its job's
+// spec, even if the job has ended; a run without a known job is assumed to use the whole
+// worker.
 func (c *Cell) reject(w *worker, p *provider.Run) *run {
 	r := c.addRun(nil, p.Task, w, p.Attempt)
 	r.state = runRunning
@@ -76,6 +76,7 @@
 	return r
 }
 
+// unqueue removes a task from its step's queue.
 func (c *Cell) unqueue(t *task) {
 	if !t.queued {
 		return
@@ -89,24 +90,24 @@
 	}
 }
 
-// settleRuns looks for runs that a worker's answer doesn't list. A start whose
-// deadline had passed when the answer was made can't happen any more. A run
-// that was listed before and isn't now has ended without a word.
-func (c *Cell) settleRuns(w *worker, held provider.Held) {
+// endMissingRuns ends the runs that a worker's answer doesn't list. A start whose deadline
+// had passed when the answer was made can't happen any more. A run that was listed before
+// and no longer is has ended without a listed end.
+func (c *Cell) endMissingRuns(w *worker, held provider.Held) {
 	if len(w.runs) <= len(held.Running) {
 		return
 	}
-	there := make(map[string]uint64, len(held.Running))
+	listed := make(map[string]uint64, len(held.Running))
 	for i := range held.Running {
-		there[held.Running[i].Task] = held.Running[i].Attempt
+		listed[held.Running[i].Task] = held.Running[i].Attempt
 	}
 	for name, r := range inOrder(w.runs) {
-		if a, ok := there[name]; ok && a == r.attempt {
+		if a, ok := listed[name]; ok && a == r.attempt {
 			continue
 		}
 		if held.Clock > r.deadline {
-			c.note("not running", "task", name, "attempt", r.attempt, "worker", w.host.ID, "state", int(r.state),
-				"born", held.Born, "ended", w.ended, "seen", w.seen)
+			c.logEvent("not running", "task", name, "attempt", r.attempt, "worker", w.host.ID, "state", int(r.state),
+				"born", held.Born, "ended", w.handledEnd, "seen", w.recordedEnd)
 			c.endRun(r, provider.EndLapsed, "")
 		}
 	}
--- a/cell/save.go
+++ b/cell/save.go
@@ -10,114 +10,116 @@
 	"github.com/dogwoodladder/dogwoodladder/fault"
 )
 
-// saver holds what is to be written and what is being written. One write is
-// under way at a time; it is repeated as it was until it is answered, so that
-// a lost answer changes nothing.
-type saver struct {
-	jobs    map[*jobState]struct{}
-	dropped []string           // jobs whose progress goes
-	hosts   map[string]*worker // to put on record, nil to drop, by ID
-	waves   map[int]catalog.Wave
-	waiting map[*worker]struct{} // with ends to acknowledge after the next write
-	batch   *batch
-	next    uint64        // sequence
-	begun   time.Duration // when the last write was first sent
-	contact time.Duration // when the last write that succeeded was sent
-	leaving bool          // the next write says that the owner leaves
-	left    bool          // and it is done
+// recordWriter collects the records to write and tracks the write in flight. There is at
+// most one write in flight. It is retried unchanged until it is answered, so that a lost
+// answer has no effect.
+type recordWriter struct {
+	dirtyJobs     map[*jobState]struct{} // jobs with unsaved progress
+	droppedJobs   []string               // IDs of jobs whose progress is to be deleted
+	dirtyHosts    map[string]*worker     // workers to put on record by ID, nil to delete the record
+	dirtyWaves    map[int]catalog.Wave
+	awaitingAck   map[*worker]struct{} // workers with ends to acknowledge after the next write
+	batch         *batch
+	nextSequence  uint64
+	lastWriteAt   time.Duration // when the last write was first sent
+	lastContact   time.Duration // when the last write that succeeded was sent
+	leaving       bool          // the next write announces that the owner leaves
+	leaveRecorded bool          // such a write has succeeded
 }
 
-// batch is a write under way.
+// batch is a write in flight.
 type batch struct {
-	save    Save
-	sent    time.Duration
-	pending bool // sent, not answered
-	retryAt time.Duration
-	claimed []*jobState
-	jobs    []change
-	workers []*worker // put on record
-	seen    []acknowledgement
-	leaving bool
+	save     Save
+	sentAt   time.Duration
+	inFlight bool // sent, not answered
+	retryAt  time.Duration
+	claims   []*jobState // jobs whose claim it records
+	jobs     []jobChange // jobs whose progress it records
+	workers  []*worker   // workers that it records
+	acks     []ack       // ends to acknowledge once it is written
+	leaving  bool
 }
 
-// change is a job of which a write has all changes up to a number.
-type change struct {
+// jobChange tells up to which change a write covers a job's progress.
+type jobChange struct {
 	job    *jobState
 	number uint64
 }
 
-// acknowledgement is the highest end of a worker that a write covers.
-type acknowledgement struct {
+// ack is the highest end of a worker that a write covers.
+type ack struct {
 	worker *worker
 	ended  uint64
 }
 
-// inOrder returns the jobs to write, by ID.
-func (s *saver) inOrder() []*jobState {
-	jobs := slices.Collect(maps.Keys(s.jobs))
+// sortedJobs returns the jobs to write, by ID.
+func (s *recordWriter) sortedJobs() []*jobState {
+	jobs := slices.Collect(maps.Keys(s.dirtyJobs))
 	slices.SortFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.job.ID, b.job.ID) })
 	return jobs
 }
 
-func newSaver(now time.Duration, first uint64) saver {
-	return saver{
-		jobs:    make(map[*jobState]struct{}),
-		hosts:   make(map[string]*worker),
-		waiting: make(map[*worker]struct{}),
-		waves:   make(map[int]catalog.Wave),
-		next:    first,
-		contact: now,
-		begun:   -time.Hour,
+func newRecordWriter(now time.Duration, first uint64) recordWriter {
+	return recordWriter{
+		dirtyJobs:    make(map[*jobState]struct{}),
+		dirtyHosts:   make(map[string]*worker),
+		awaitingAck:  make(map[*worker]struct{}),
+		dirtyWaves:   make(map[int]catalog.Wave),
+		nextSequence: first,
+		lastContact:  now,
+		lastWriteAt:  -time.Hour,
 	}
 }
 
-func (s *saver) dirty(j *jobState) {
-	s.jobs[j] = struct{}{}
-	j.changes++
+// markDirty schedules a job's progress to be written.
+func (s *recordWriter) markDirty(j *jobState) {
+	s.dirtyJobs[j] = struct{}{}
+	j.changeCount++
 }
 
-// drop has a job's progress dropped.
-func (s *saver) drop(id string) {
-	s.dropped = append(s.dropped, id)
+// dropProgress schedules the deletion of a job's progress.
+func (s *recordWriter) dropProgress(id string) {
+	s.droppedJobs = append(s.droppedJobs, id)
 }
 
-// register puts a worker on record.
-func (s *saver) register(w *worker) {
-	s.hosts[w.host.ID] = w
+// register schedules a worker to be put on record.
+func (s *recordWriter) register(w *worker) {
+	s.dirtyHosts[w.host.ID] = w
 }
 
-// unregister drops a worker's record.
-func (s *saver) unregister(w *worker) {
-	s.hosts[w.host.ID] = nil
+// unregister schedules the deletion of a worker's record.
+func (s *recordWriter) unregister(w *worker) {
+	s.dirtyHosts[w.host.ID] = nil
 }
 
-// wait has a worker's ends acknowledged after the next write. It reports
-// false if there is nothing to write for them.
-func (s *saver) wait(w *worker) bool {
-	if len(s.jobs) == 0 && s.batch == nil {
+// deferAck has a worker's ends acknowledged after the next write. It returns false if
+// nothing has to be written before they are acknowledged.
+func (s *recordWriter) deferAck(w *worker) bool {
+	if len(s.dirtyJobs) == 0 && s.batch == nil {
 		return false
 	}
-	s.waiting[w] = struct{}{}
+	s.awaitingAck[w] = struct{}{}
 	return true
 }
 
-func (s *saver) busy() bool {
-	return s.batch != nil || len(s.jobs) > 0 || len(s.hosts) > 0 || len(s.waves) > 0 || len(s.dropped) > 0
+func (s *recordWriter) hasPending() bool {
+	return s.batch != nil || len(s.dirtyJobs) > 0 || len(s.dirtyHosts) > 0 || len(s.dirtyWaves) > 0 || len(s.droppedJobs) > 0
 }
 
-// save writes what has changed, and a heartbeat where nothing has.
-func (c *Cell) save() {
-	s := &c.saves
+// writeRecords writes the changed records, or a heartbeat if there are none. It retries a
+// write that failed.
+func (c *Cell) writeRecords() {
+	s := &c.writer
 	if b := s.batch; b != nil {
-		if !b.pending && c.now >= b.retryAt {
-			c.send(b)
+		if !b.inFlight && c.now >= b.retryAt {
+			c.sendBatch(b)
 		}
 		return
 	}
-	if c.now-s.begun < c.timing.SaveGap {
+	if c.now-s.lastWriteAt < c.timing.MinSaveInterval {
 		return
 	}
-	if !s.busy() && len(s.waiting) == 0 && c.now-s.begun < c.timing.Beat && s.leaving == s.left {
+	if !s.hasPending() && len(s.awaitingAck) == 0 && c.now-s.lastWriteAt < c.timing.HeartbeatInterval && s.leaving == s.leaveRecorded {
 		return
 	}
 	b, err := c.newBatch()
@@ -126,46 +128,46 @@
 		return
 	}
 	s.batch = b
-	s.begun = c.now
-	c.send(b)
+	s.lastWriteAt = c.now
+	c.sendBatch(b)
 }
 
-func (c *Cell) send(b *batch) {
-	b.sent = c.now
-	b.pending = true
-	c.do(b.save)
+func (c *Cell) sendBatch(b *batch) {
+	b.sentAt = c.now
+	b.inFlight = true
+	c.emit(b.save)
 }
 
 func (c *Cell) newBatch() (*batch, error) {
-	s := &c.saves
-	b := &batch{save: Save{Term: c.self.Term, Sequence: s.next}, leaving: s.leaving}
-	s.next++
-	c.beats++
+	s := &c.writer
+	b := &batch{save: Save{Term: c.self.Term, Sequence: s.nextSequence}, leaving: s.leaving}
+	s.nextSequence++
+	c.heartbeats++
 	owner, err := catalog.OwnerRecord(catalog.Owner{
 		Term:     c.self.Term,
 		Instance: c.self.Instance,
 		Nonce:    c.self.Nonce,
 		Sequence: c.self.Sequence,
-		Beat:     c.beats,
+		Beat:     c.heartbeats,
 		Leaving:  s.leaving,
 	})
 	if err != nil {
 		return nil, err
 	}
 	b.save.Records = append(b.save.Records, owner)
-	for _, j := range s.inOrder() {
+	for _, j := range s.sortedJobs() {
 		r, err := catalog.ProgressRecord(j.job.ID, j.progress)
 		if err != nil {
 			return nil, err
 		}
 		b.save.Records = append(b.save.Records, r)
-		b.jobs = append(b.jobs, change{job: j, number: j.changes})
-		if j.progress.Claimed && !j.claimed {
-			b.claimed = append(b.claimed, j)
+		b.jobs = append(b.jobs, jobChange{job: j, number: j.changeCount})
+		if j.progress.Claimed && !j.claimRecorded {
+			b.claims = append(b.claims, j)
 		}
 	}
-	for id, w := range inOrder(s.hosts) {
-		r, err := catalog.HostRecord(id, w.record())
+	for id, w := range inOrder(s.dirtyHosts) {
+		r, err := catalog.HostRecord(id, w.hostRecord())
 		if err != nil {
 			return nil, err
 		}
@@ -177,41 +179,41 @@
 	if err := c.addCrashed(b); err != nil {
 		return nil, err
 	}
-	for _, id := range s.dropped {
+	for _, id := range s.droppedJobs {
 		b.save.Records = append(b.save.Records, catalog.DropProgress(id))
 	}
-	s.dropped = nil
-	for n, w := range inOrder(s.waves) {
+	s.droppedJobs = nil
+	for n, w := range inOrder(s.dirtyWaves) {
 		r, err := catalog.WaveRecord(n, w)
 		if err != nil {
 			return nil, err
 		}
 		b.save.Records = append(b.save.Records, r)
 	}
-	clear(s.waves)
+	clear(s.dirtyWaves)
 	if err := c.addLearned(b); err != nil {
 		return nil, err
 	}
 	if err := c.addBacklog(b); err != nil {
 		return nil, err
 	}
-	for w := range s.waiting {
-		b.seen = append(b.seen, acknowledgement{worker: w, ended: w.ended})
+	for w := range s.awaitingAck {
+		b.acks = append(b.acks, ack{worker: w, ended: w.handledEnd})
 	}
-	slices.SortFunc(b.seen, func(x, y acknowledgement) int { return cmp.Compare(x.worker.host.ID, y.worker.host.ID) })
-	clear(s.jobs)
-	clear(s.hosts)
-	clear(s.waiting)
+	slices.SortFunc(b.acks, func(x, y ack) int { return cmp.Compare(x.worker.host.ID, y.worker.host.ID) })
+	clear(s.dirtyJobs)
+	clear(s.dirtyHosts)
+	clear(s.awaitingAck)
 	return b, nil
 }
 
-// addCrashed tells the owners that follow which crashed workers the survey found. It
-// goes with the write that takes these off the record.
+// addCrashed adds the crashed workers that the survey found to a write, for later owners.
+// It is the same write that deletes the records of these workers.
 func (c *Cell) addCrashed(b *batch) error {
-	if !c.survey.untold {
+	if !c.survey.crashedUnsaved {
 		return nil
 	}
-	c.survey.untold = false
+	c.survey.crashedUnsaved = false
 	r, err := catalog.CrashedRecord(c.survey.crashed)
 	if err != nil {
 		return err
@@ -220,13 +222,13 @@
 	return nil
 }
 
-// addLearned adds what was learned to a write now and then, so that a
-// successor needn't learn it at the expense of serving tasks.
+// addLearned adds the learned interference weights to a write every learnedInterval, so
+// that a successor needn't learn them again at the expense of serving tasks.
 func (c *Cell) addLearned(b *batch) error {
-	if c.now-c.learnedAt < learnedEvery {
+	if c.now-c.lastLearnedAt < learnedInterval {
 		return nil
 	}
-	c.learnedAt = c.now
+	c.lastLearnedAt = c.now
 	data, err := c.pressure.Encode()
 	if err != nil {
 		return err
@@ -235,21 +237,21 @@
 	return nil
 }
 
-// learnedEvery is the time between two records of what was learned.
-const learnedEvery = 2 * time.Second
+// learnedInterval is the time between two records of the learned weights.
+const learnedInterval = 2 * time.Second
 
-// addBacklog tells the other instances by how much this owner doesn't keep up and
-// which pools are full, and when neither is so any more.
+// addBacklog adds the owner's backlog and its full pools to a write for the other
+// instances. Once there is none any more, it adds an empty backlog.
 func (c *Cell) addBacklog(b *batch) error {
-	if c.now-c.toldAt < c.timing.Beat {
+	if c.now-c.lastBacklogAt < c.timing.HeartbeatInterval {
 		return nil
 	}
 	backlog := c.backlog()
-	if backlog == nil && !c.toldBacklog {
+	if backlog == nil && !c.backlogReported {
 		return nil
 	}
-	c.toldAt = c.now
-	c.toldBacklog = backlog != nil
+	c.lastBacklogAt = c.now
+	c.backlogReported = backlog != nil
 	record, err := catalog.BacklogRecord(c.self.Term, backlog)
 	if err != nil {
 		return err
@@ -258,65 +260,67 @@
 	return nil
 }
 
-// saved takes the outcome of a write.
-func (c *Cell) saved(in Saved) {
-	s := &c.saves
+// handleSaved handles the outcome of a write.
+func (c *Cell) handleSaved(in Saved) {
+	s := &c.writer
 	b := s.batch
 	if b == nil || b.save.Sequence != in.Sequence {
 		return
 	}
-	b.pending = false
+	b.inFlight = false
 	if fault.Is(in.Err, fault.StaleEpoch) || fault.Is(in.Err, fault.Conflict) {
 		c.depose("the store has seen a higher term")
 		return
 	}
 	if in.Err != nil {
-		b.retryAt = c.now + c.timing.SaveRetry
-		if c.now-s.contact > c.timing.Beat*2 {
-			c.note("not saved", "sequence", in.Sequence, "since", c.now-s.contact, "err", in.Err)
+		b.retryAt = c.now + c.timing.SaveRetryInterval
+		if c.now-s.lastContact > c.timing.HeartbeatInterval*2 {
+			c.logEvent("not saved", "sequence", in.Sequence, "since", c.now-s.lastContact, "err", in.Err)
 		}
 		return
 	}
 	s.batch = nil
-	s.contact = b.sent
-	s.left = b.leaving
-	c.acknowledge(b)
+	s.lastContact = b.sentAt
+	s.leaveRecorded = b.leaving
+	c.completeBatch(b)
 }
 
-func (c *Cell) acknowledge(b *batch) {
-	for _, j := range b.claimed {
-		j.claimed = true
-		c.changed = true
+// completeBatch applies a successful write: it marks records as saved and acknowledges the
+// ends that were waiting for it.
+func (c *Cell) completeBatch(b *batch) {
+	for _, j := range b.claims {
+		j.claimRecorded = true
+		c.needsDispatch = true
 	}
 	for _, ch := range b.jobs {
-		if ch.job.startChange > ch.job.written {
-			c.changed = true
+		if ch.job.lastStartChange > ch.job.savedChanges {
+			c.needsDispatch = true
 		}
-		ch.job.written = ch.number
+		ch.job.savedChanges = ch.number
 	}
 	for _, w := range b.workers {
 		w.registered = true
-		c.changed = true
+		c.needsDispatch = true
 	}
-	for _, a := range b.seen {
+	for _, a := range b.acks {
 		w := a.worker
-		w.seen = max(w.seen, a.ended)
-		if w.lost || w.holding {
+		w.recordedEnd = max(w.recordedEnd, a.ended)
+		if w.lost || w.holdInFlight {
 			continue
 		}
-		if w.ended > w.seen && c.saves.wait(w) {
+		if w.handledEnd > w.recordedEnd && c.writer.deferAck(w) {
 			continue
 		}
-		c.hold(w)
+		c.sendHold(w)
 	}
 }
 
-// Leave has the cell given up in an orderly way: its last write says so.
+// Leave gives the cell up in an orderly way: the next write announces it.
 func (c *Cell) Leave() {
-	c.saves.leaving = true
+	c.writer.leaving = true
 }
 
-// Left reports whether that write is done.
+// Left reports whether the write that announces the leave has succeeded.
 func (c *Cell) Left() bool {
-	return c.saves.left
+	return c.writer.leaveRecorded
 }
--- a/cell/schedule_test.go
+++ b/cell/schedule_test.go
@@ -10,47 +10,47 @@
 )
 
 const (
-	schedules     = 60
-	scheduleFor   = 25 * time.Second
-	scheduleJobs  = 14
-	scheduleHosts = 5
+	scheduleSeeds  = 60
+	scheduleLength = 25 * time.Second
+	scheduleJobs   = 14
+	scheduleHosts  = 5
 )
 
-// TestRandomSchedules plays faults drawn from fixed seeds, alone and together,
-// and holds every start against what must never happen. Once they are over,
-// every job has to end.
+// TestRandomSchedules injects faults drawn from fixed seeds, alone and in combination, and
+// checks every start against the invariants. Once the faults are over, every job has to
+// end.
 func TestRandomSchedules(t *testing.T) {
-	eachSeed(t, schedules, func(t *testing.T, seed uint64) {
+	forEachSeed(t, scheduleSeeds, func(t *testing.T, seed uint64) {
 		s := newSite(t, 100+seed, scheduleHosts, 3)
-		s.failing = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
+		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		s.playSchedule()
 	})
 }
 
-// playSchedule plays arrivals and faults, and checks that every job has ended once
+// playSchedule simulates arrivals and faults, and checks that every job has ended once
 // they are over.
 func (s *site) playSchedule() {
 	s.t.Helper()
 	is := is.New(s.t)
-	s.arrivals()
-	s.owners[0].take()
+	s.scheduleArrivals()
+	s.owners[0].takeOver()
 	for range 7 {
-		at := time.Duration(s.rng.Int64N(int64(scheduleFor)))
-		s.after(at, s.fault)
+		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
+		s.after(at, s.injectFault)
 	}
-	s.after(scheduleFor, s.heal)
-	s.run(scheduleFor + 3*quiet)
-	is.Equal(s.broken, nil)
+	s.after(scheduleLength, s.endFaults)
+	s.run(scheduleLength + 3*settleTime)
+	is.Equal(s.violations, nil)
 	for id := range s.jobs {
 		state := s.state(id)
 		is.True(state == "completed" || state == "cancelled" || state == "failed") // nothing is left
 	}
 }
 
-// arrivals submits jobs over the time of the schedule.
-func (s *site) arrivals() {
+// scheduleArrivals submits jobs over the length of the schedule.
+func (s *site) scheduleArrivals() {
 	for i := range scheduleJobs {
-		at := time.Duration(s.rng.Int64N(int64(scheduleFor)))
+		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
 		j := &job.Job{ID: jobID(i), Steps: []job.Step{step(1+s.rng.IntN(4), 1+s.rng.Int64N(4)), step(1+s.rng.IntN(3), 2, 0)}}
 		j.Steps[0].Gang = s.rng.IntN(6) == 0
 		j.Steps[0].Checkpoints = s.rng.IntN(2) == 0
@@ -61,58 +61,58 @@
 	}
 }
 
-// fault plays one fault, which ends by itself.
-func (s *site) fault() {
+// injectFault injects a random injectFault, which ends by itself.
+func (s *site) injectFault() {
 	o := s.owners[s.rng.IntN(len(s.owners))]
 	w := s.workers[s.rng.IntN(len(s.workers))]
 	span := time.Second + time.Duration(s.rng.Int64N(int64(7*time.Second)))
 	switch s.rng.IntN(7) {
 	case 0:
 		o.kill()
-		s.after(time.Second, s.successor)
+		s.after(time.Second, s.takeOverByAny)
 	case 1:
 		o.freeze(span)
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverByAny)
 	case 2:
 		o.noStore = true
 		s.after(span, func() { o.noStore = false })
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverByAny)
 	case 3:
 		for i := range s.workers {
-			o.noWorker[i] = s.rng.IntN(2) == 0
+			o.unreachable[i] = s.rng.IntN(2) == 0
 		}
-		s.after(span, func() { clear(o.noWorker) })
+		s.after(span, func() { clear(o.unreachable) })
 	case 4:
 		if w.up {
 			w.crash(span/4, int(s.now/time.Millisecond)+1)
 		}
 	case 5:
-		s.lateOrders = 0.2
-		s.after(span, func() { s.lateOrders = 0 })
+		s.lateOrderRate = 0.2
+		s.after(span, func() { s.lateOrderRate = 0 })
 	case 6:
-		s.lostSaves = 0.5
-		s.after(span, func() { s.lostSaves = 0 })
+		s.lostSaveRate = 0.5
+		s.after(span, func() { s.lostSaveRate = 0 })
 	}
 }
 
-// successor has an instance that reaches the store take the cell.
-func (s *site) successor() {
+// takeOverByAny makes a random instance that reaches the store take the cell.
+func (s *site) takeOverByAny() {
 	for range 10 {
 		o := s.owners[s.rng.IntN(len(s.owners))]
 		if !o.noStore && !o.frozen {
-			o.take()
+			o.takeOver()
 			return
 		}
 	}
 }
 
-// heal ends all faults and sees to it that there is an owner.
-func (s *site) heal() {
-	s.lateOrders = 0
-	s.lostSaves = 0
+// endFaults ends all faults and makes sure that there is an owner.
+func (s *site) endFaults() {
+	s.lateOrderRate = 0
+	s.lostSaveRate = 0
 	for _, o := range s.owners {
 		o.noStore = false
-		clear(o.noWorker)
+		clear(o.unreachable)
 	}
-	s.after(9*time.Second, s.owners[0].take)
+	s.after(9*time.Second, s.owners[0].takeOver)
 }
--- a/cell/services_test.go
+++ b/cell/services_test.go
@@ -8,38 +8,38 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// adviceTime is how long the adviser takes, and ticketTime how long its tickets
-// are valid.
+// adviceTime is how long the adviser takes for an answer, and ticketTime how long its
+// tickets are valid.
 const (
 	adviceTime = 60 * time.Millisecond
 	ticketTime = 1500 * time.Millisecond
 )
 
-// advise answers a question about workers. The adviser takes one at a time.
+// advise answers a request for advice. The adviser handles one at a time.
 func (o *owner) advise(a cell.Advise) {
 	s := o.site
-	life := o.life
+	generation := o.generation
 	sent := s.now
-	if o.asking++; o.asking > 1 {
-		s.violate("two questions for the adviser at once")
+	if o.adviceInFlight++; o.adviceInFlight > 1 {
+		s.recordViolation("two questions for the adviser at once")
 	}
 	s.after(adviceTime, func() {
-		o.asking--
+		o.adviceInFlight--
 		reply := cell.Advised{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Valid: ticketTime, Sent: sent}
 		for _, h := range a.Hosts {
-			if s.advised(h) {
+			if s.isAllowed(h) {
 				ticket := fmt.Sprintf("%s/%d/%v", h, s.bornOf(h), s.now)
 				s.tickets[ticket] = s.now + ticketTime
 				reply.Tickets = append(reply.Tickets, provider.Ticket{Host: h, Ticket: ticket})
 			}
 		}
-		if o.life == life {
+		if o.generation == generation {
 			o.step(reply)
 		}
 	})
 }
 
-// bornOf returns when the incarnation of a worker that is there started, zero if none is.
+// bornOf returns the start time of a worker's current incarnation, zero if it is down.
 func (s *site) bornOf(id string) uint64 {
 	for _, w := range s.workers {
 		if w.up && w.host.ID == id {
@@ -52,24 +52,24 @@
 // upkeepTime is how long a machine is down for its upkeep.
 const upkeepTime = 2 * time.Second
 
-// upkeep takes a machine down, and brings another life of its worker up later.
+// upkeep takes a machine down, and starts another incarnation of its worker later.
 func (o *owner) upkeep(a cell.Upkeep) {
 	s := o.site
-	life := o.life
-	s.after(hop, func() {
+	generation := o.generation
+	s.after(hopDelay, func() {
 		for _, w := range s.workers {
 			if w.up && w.host.Machine == a.Order.Machine {
-				s.upkeeps[a.Order.Machine]++
-				s.taken(w)
-				if s.keepNames {
+				s.upkeepCount[a.Order.Machine]++
+				s.onUpkeep(w)
+				if s.keepIDs {
 					w.restart(upkeepTime)
 				} else {
-					w.crash(upkeepTime, s.upkeeps[a.Order.Machine])
+					w.crash(upkeepTime, s.upkeepCount[a.Order.Machine])
 				}
 			}
 		}
-		s.after(hop, func() {
-			if o.life == life {
+		s.after(hopDelay, func() {
+			if o.generation == generation {
 				o.step(cell.UpkeepReply{Machine: a.Order.Machine, Wave: a.Order.Wave})
 			}
 		})
--- a/cell/serving_test.go
+++ b/cell/serving_test.go
@@ -10,12 +10,12 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// Guards against paused filling tasks that are neither let go on nor moved.
+// Guards against paused filling tasks that are neither resumed nor moved.
 func TestPausedTasksAreMoved(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 2, 1)
-	s.length = func(task string) time.Duration {
-		if s.lasts(task) {
+	s.duration = func(task string) time.Duration {
+		if s.isLasting(task) {
 			return time.Hour
 		}
 		return 3 * time.Second
@@ -25,13 +25,13 @@
 	serving.Steps[0].PerWorker = 1
 	serving.Steps[0].Image = "quick"
 	serving.Steps[0].Target = 10 * time.Millisecond
-	var slowed *fakeWorker // the worker on which the filling task begins
-	began := time.Duration(0)
+	var slowed *fakeWorker // the worker on which the filling task starts
+	fillStartedAt := time.Duration(0)
 	s.tail = func(_ string, w *fakeWorker) time.Duration {
 		switch {
 		case w != slowed:
 			return 2 * time.Millisecond
-		case s.now < began+time.Second:
+		case s.now < fillStartedAt+time.Second:
 			return 9800 * time.Microsecond
 		}
 		return 7500 * time.Microsecond
@@ -40,13 +40,13 @@
 	filling.Steps[0].Fills = true
 	filling.Steps[0].Image = "rebuild"
 	s.submit(serving)
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.after(3*time.Second, func() { s.submit(filling) })
 	var watch func()
 	watch = func() {
 		for _, w := range s.workers {
 			if slowed == nil && w.runs[jobID(2)+".0.0.0"] != nil {
-				slowed, began = w, s.now
+				slowed, fillStartedAt = w, s.now
 			}
 		}
 		s.after(50*time.Millisecond, watch)
@@ -54,17 +54,18 @@
 	s.after(0, watch)
 	s.run(12 * time.Second)
 	is.True(slowed != nil)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.Equal(s.state(jobID(2)), "completed") // 1 s paused, then 3 s elsewhere
 }
 
-// Guards against filling tasks that work on beside a serving one whose tail wavers about its target.
-func TestFillingTasksPauseBesideAWaveringTail(t *testing.T) {
+// Guards against filling tasks that aren't paused beside a serving task whose tail
+// fluctuates around its target.
+func TestFillingTasksPauseBesideFluctuatingTail(t *testing.T) {
 	is := is.New(t)
-	const target, bearable = 10 * time.Millisecond, 4 * time.Second
+	const target, maxRunning = 10 * time.Millisecond, 4 * time.Second
 	s := newSite(t, 1, 1, 1)
-	s.length = func(task string) time.Duration {
-		if s.lasts(task) {
+	s.duration = func(task string) time.Duration {
+		if s.isLasting(task) {
 			return time.Hour
 		}
 		return 700 * time.Millisecond
@@ -75,12 +76,12 @@
 	serving.Steps[0].Target = target
 	s.tail = func(string, *fakeWorker) time.Duration {
 		if s.now/(200*time.Millisecond)%4 == 0 {
-			return target * 96 / 100 // a reading is off by a tenth
+			return target * 96 / 100 // readings are off by up to a tenth
 		}
 		return target * 104 / 100
 	}
 	s.submit(serving)
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	for i := range 200 {
 		filling := &job.Job{ID: jobID(1 + i), Spec: "x", Steps: []job.Step{step(1, 1)}}
 		filling.Steps[0].Need.Processors = 160 // a fiftieth of the worker
@@ -88,23 +89,23 @@
 		filling.Steps[0].Image = fmt.Sprintf("rebuild-%d", i)
 		s.after(2*time.Second+time.Duration(i)*50*time.Millisecond, func() { s.submit(filling) })
 	}
-	began, longest := time.Duration(0), time.Duration(0)
+	lastPausedAt, longest := time.Duration(0), time.Duration(0)
 	var watch func()
 	watch = func() {
-		works := false
+		working := false
 		for name, r := range s.workers[0].runs {
-			works = works || !s.lasts(name) && r.pace > 0
+			working = working || !s.isLasting(name) && r.pace > 0
 		}
-		if !works {
-			began = s.now
+		if !working {
+			lastPausedAt = s.now
 		}
-		longest = max(longest, s.now-began)
+		longest = max(longest, s.now-lastPausedAt)
 		s.after(20*time.Millisecond, watch)
 	}
 	s.after(2*time.Second, watch)
 	s.run(12 * time.Second)
-	is.Equal(s.broken, nil)
-	if longest > bearable {
+	is.Equal(s.violations, nil)
+	if longest > maxRunning {
 		t.Errorf("filling tasks work on for %v", longest)
 	}
 }
--- a/cell/shrink_test.go
+++ b/cell/shrink_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against starts by a capacity that a worker doesn't have any more.
+// Guards against starts by a capacity that a worker no longer has.
 func TestStartsFitWorkersThatShrink(t *testing.T) {
 	tests := []struct {
 		name string
@@ -27,10 +27,10 @@
 			s.after(4*time.Second, func() { s.owners[0].freeze(5 * time.Second) })
 		}},
 		{"an owner follows", func(s *site) {
-			s.after(5*time.Second, func() { s.takeover(0, 1) })
+			s.after(5*time.Second, func() { s.replaceOwner(0, 1) })
 			s.after(9*time.Second, func() {
-				s.owners[0].listTime = 400 * time.Millisecond
-				s.takeover(1, 0)
+				s.owners[0].listDelay = 400 * time.Millisecond
+				s.replaceOwner(1, 0)
 			})
 		}},
 	}
@@ -41,8 +41,8 @@
 				is := is.New(t)
 				const jobs, every = 120, 100 * time.Millisecond
 				s := newSite(t, 700+seed, 8, 2)
-				s.arrive(jobs, every)
-				s.owners[0].take()
+				s.submitEvery(jobs, every)
+				s.owners[0].takeOver()
 				for n := range 30 {
 					at := time.Duration(n) * 500 * time.Millisecond
 					s.after(at, func() { s.workers[s.rng.IntN(len(s.workers))].resize(40 + s.rng.Int64N(60)) })
@@ -53,8 +53,8 @@
 						w.resize(100)
 					}
 				})
-				s.run(jobs*every + 3*quiet)
-				is.Equal(s.broken, nil)
+				s.run(jobs*every + 3*settleTime)
+				is.Equal(s.violations, nil)
 				for i := range jobs {
 					is.Equal(s.state(jobID(i)), "completed")
 				}
--- a/cell/store_test.go
+++ b/cell/store_test.go
@@ -13,14 +13,14 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// logStore is the store as far as a cell uses it.
+// logStore simulates the parts of the store that a cell uses.
 type logStore struct {
-	accepts   []provider.KeyedRecord
-	progress  []provider.KeyedRecord
-	term      uint64
-	last      uint64
-	answers   map[uint64]error
-	cancelled []cancellation
+	accepts      []provider.KeyedRecord
+	progress     []provider.KeyedRecord
+	term         uint64
+	lastSequence uint64
+	answers      map[uint64]error
+	cancelled    []cancellation
 }
 
 type cancellation struct {
@@ -28,17 +28,17 @@
 	at time.Duration
 }
 
-func (l *logStore) put(a cell.Save) error {
+func (l *logStore) write(a cell.Save) error {
 	if a.Term < l.term {
 		return fault.New(fault.StaleEpoch, "term %d is in force", l.term)
 	}
 	if err, repeated := l.answers[a.Sequence]; repeated {
 		return err
 	}
-	if a.Sequence != l.last+1 {
-		return fault.New(fault.Conflict, "sequence %d follows %d", a.Sequence, l.last)
+	if a.Sequence != l.lastSequence+1 {
+		return fault.New(fault.Conflict, "sequence %d follows %d", a.Sequence, l.lastSequence)
 	}
-	l.last = a.Sequence
+	l.lastSequence = a.Sequence
 	l.answers[a.Sequence] = nil
 	l.progress = append(l.progress, a.Records...)
 	return nil
@@ -46,7 +46,7 @@
 
 func (l *logStore) claim(instance string) uint64 {
 	l.term = catalog.NextTerm(l.term)
-	l.last = 1
+	l.lastSequence = 1
 	clear(l.answers)
 	l.answers[1] = nil
 	r, err := catalog.OwnerRecord(catalog.Owner{Term: l.term, Instance: instance})
@@ -56,7 +56,7 @@
 	return l.term
 }
 
-func (l *logStore) fold(t *testing.T) *catalog.Catalog {
+func (l *logStore) readCatalog(t *testing.T) *catalog.Catalog {
 	c := catalog.New()
 	for _, r := range newest(l.accepts) {
 		if err := c.Accept(r); err != nil {
@@ -71,7 +71,7 @@
 	return c
 }
 
-// newest returns the newest record of each key, as a reader that starts gets
+// newest returns the newest record of each key, like a reader that starts up receives
 // them.
 func newest(records []provider.KeyedRecord) []provider.KeyedRecord {
 	last := make(map[string]int)
@@ -87,13 +87,13 @@
 	return kept
 }
 
-// Guards against ends that are seen late as the store is slow.
+// Guards against ends that are noticed late because the store is slow.
 func TestEndsAreSeenWhileTheStoreIsSlow(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1, 1)
 	s.storeDelay = 300 * time.Millisecond
-	s.length = func(string) time.Duration { return 200 * time.Millisecond }
-	s.owners[0].take()
+	s.duration = func(string) time.Duration { return 200 * time.Millisecond }
+	s.owners[0].takeOver()
 	s.run(2 * time.Second)
 	const steps = 8
 	chain := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(1, 1)}}
@@ -101,9 +101,9 @@
 		chain.Steps = append(chain.Steps, step(1, 1, n))
 	}
 	s.submit(chain)
-	// Its claim and its end take 0.6 s each to be recorded, a step 0.2 s, and
-	// up to 0.1 s to be seen.
+	// Recording the job's claim and its end takes 0.6 s each; a step takes 0.2 s, and up to
+	// 0.1 s until its end is noticed.
 	s.run(s.now + 2*600*time.Millisecond + steps*300*time.Millisecond + 500*time.Millisecond)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.Equal(s.state(jobID(1)), "completed")
 }
--- a/cell/survey.go
+++ b/cell/survey.go
@@ -6,35 +6,36 @@
 	"github.com/dogwoodladder/dogwoodladder/catalog"
 )
 
-// survey is what a new owner has to find out before it may start tasks that
-// an earlier owner may have started: what runs on each worker that it may
-// have given orders to.
+// survey tracks which workers a new owner still has to ask before it may start tasks that
+// an earlier owner may have started. These are all workers that an earlier owner may have
+// sent orders to.
 type survey struct {
-	term    uint64
-	open    map[*worker]struct{}
-	until   time.Duration // when the leases of workers that don't answer have ended
-	done    bool
-	crashed map[string]uint64 // incarnations of workers that had crashed, or may have, and the term of the owner that found it
-	untold  bool              // not all of them are on record
+	term           uint64
+	pending        map[*worker]struct{} // workers that haven't answered yet
+	deadline       time.Duration        // when the leases of workers that don't answer have expired
+	done           bool
+	crashed        map[string]uint64 // incarnations that crashed, or may have, and the term of the owner that found out
+	crashedUnsaved bool              // crashed has entries that aren't on record
 }
 
-// crashedOwners is for how many owners a crashed worker is remembered. Those that are
-// followed in haste don't come to deal with what may have crashed it.
-const crashedOwners = 8
+// maxCrashAge is for how many owners a crashed worker is remembered. When owners follow
+// each other quickly, none of them has the time to resolve the starts that may have
+// crashed the worker.
+const maxCrashAge = 8
 
-// remember takes over the crashed workers that owners not long before found.
-func (s *survey) remember(term uint64, crashed map[string]uint64) {
+// restoreCrashed restores the crashed workers that the last maxCrashAge owners found.
+func (s *survey) restoreCrashed(term uint64, crashed map[string]uint64) {
 	s.term = term
 	s.crashed = make(map[string]uint64)
 	for id, found := range crashed {
-		if (term-found)/catalog.TermSpacing <= crashedOwners {
+		if (term-found)/catalog.TermSpacing <= maxCrashAge {
 			s.crashed[id] = found
 		}
 	}
 }
 
-// mayHaveCrashed reports whether an incarnation had crashed, or may have; any for an
-// empty name.
+// mayHaveCrashed reports whether an incarnation crashed, or may have. An empty name stands
+// for any incarnation.
 func (s *survey) mayHaveCrashed(incarnation string) bool {
 	if incarnation == "" {
 		return len(s.crashed) > 0
@@ -42,74 +43,74 @@
 	return s.crashed[incarnation] > 0
 }
 
-// noteCrash takes note that a worker had crashed, or may have.
-func (s *survey) noteCrash(w *worker) {
+// recordCrash records, during the survey, that a worker crashed or may have.
+func (s *survey) recordCrash(w *worker) {
 	if s.done {
 		return
 	}
 	s.crashed[w.incarnation()] = s.term
-	s.untold = true
+	s.crashedUnsaved = true
 }
 
 func (s *survey) add(w *worker) {
-	if s.open == nil {
-		s.open = make(map[*worker]struct{})
+	if s.pending == nil {
+		s.pending = make(map[*worker]struct{})
 	}
-	s.open[w] = struct{}{}
+	s.pending[w] = struct{}{}
 }
 
-// replace has the next incarnation of a worker asked in its place: it may have carried out
-// an order of an earlier owner that came late.
+// replace makes the survey wait for the next incarnation of a worker in its place: the
+// next one may have carried out a delayed order of an earlier owner.
 func (s *survey) replace(w, next *worker) {
-	if _, ok := s.open[w]; ok {
-		delete(s.open, w)
+	if _, ok := s.pending[w]; ok {
+		delete(s.pending, w)
 		s.add(next)
 	}
 }
 
-// begin starts the wait. An earlier owner that is cut off from the store goes
-// on extending leases for Timing.Isolation, and the last one runs for the
-// longest lease of the worker's clock.
-func (s *survey) begin(now time.Duration, t *Timing) {
-	s.until = now + t.Isolation + t.stretched(t.MaxLease)
-	s.done = len(s.open) == 0
+// start sets the deadline of the survey. An earlier owner that is cut off from the store
+// goes on renewing leases for Timing.Isolation, and the last lease runs for at most
+// MaxLease on the worker's clock.
+func (s *survey) start(now time.Duration, t *Timing) {
+	s.deadline = now + t.Isolation + t.stretch(t.MaxLease)
+	s.done = len(s.pending) == 0
 }
 
-// surveyed takes note that a worker's runs are known, or that it has none.
-func (c *Cell) surveyed(w *worker) {
-	if _, ok := c.survey.open[w]; !ok {
+// markSurveyed removes a worker from the survey because its runs are known, or it is lost.
+func (c *Cell) markSurveyed(w *worker) {
+	if _, ok := c.survey.pending[w]; !ok {
 		return
 	}
-	delete(c.survey.open, w)
-	c.endSurvey()
+	delete(c.survey.pending, w)
+	c.completeSurvey()
 }
 
-// checkSurvey gives up on workers that didn't answer once their leases have
-// ended.
-func (c *Cell) checkSurvey() {
-	if c.survey.done || c.now < c.survey.until || c.saves.contact < c.survey.until {
+// expireSurvey gives up on workers that didn't answer once their leases have expired.
+func (c *Cell) expireSurvey() {
+	if c.survey.done || c.now < c.survey.deadline || c.writer.lastContact < c.survey.deadline {
 		return
 	}
-	for w := range c.survey.open {
-		c.note("lease ended", "worker", w.host.ID, "silent", c.now-w.heard)
-		c.survey.noteCrash(w)
-		delete(c.survey.open, w)
+	for w := range c.survey.pending {
+		c.logEvent("lease ended", "worker", w.host.ID, "silent", c.now-w.lastContact)
+		c.survey.recordCrash(w)
+		delete(c.survey.pending, w)
 	}
-	c.endSurvey()
+	c.completeSurvey()
 }
 
-func (c *Cell) endSurvey() {
-	if c.survey.done || len(c.survey.open) > 0 {
+// completeSurvey completes the survey if no worker is pending.
+func (c *Cell) completeSurvey() {
+	if c.survey.done || len(c.survey.pending) > 0 {
 		return
 	}
 	c.survey.done = true
-	c.changed = true
-	c.doubtOld()
-	c.note("workers surveyed", "workers", len(c.workers))
+	c.needsDispatch = true
+	c.markUnresolvedStarts()
+	c.logEvent("workers surveyed", "workers", len(c.workers))
 }
 
-// mayStart reports whether a job's tasks can't be running where this owner
-// doesn't see them.
-func (c *Cell) mayStart(j *jobState) bool {
-	return !j.old || c.survey.done
+// canStart reports whether a job's tasks may be started: an earlier owner can't have
+// started any, or the survey has found all of them.
+func (c *Cell) canStart(j *jobState) bool {
+	return !j.inherited || c.survey.done
 }
--- a/cell/urgency.go
+++ b/cell/urgency.go
@@ -8,25 +8,24 @@
 	"github.com/dogwoodladder/dogwoodladder/ranking"
 )
 
-// orderSteps puts the steps that wait in order anew, as the time that passes
-// changes how jobs stand.
-func (c *Cell) orderSteps() {
-	if c.sorted && c.now-c.ordered < orderEvery {
+// sortWaiting re-sorts the waiting steps, because the standing of jobs changes with time.
+func (c *Cell) sortWaiting() {
+	if c.waitingSorted && c.now-c.sortedAt < sortInterval {
 		return
 	}
-	c.sorted = true
-	c.ordered = c.now
-	for _, s := range c.waiting {
+	c.waitingSorted = true
+	c.sortedAt = c.now
+	for _, s := range c.waitingSteps {
 		s.rank = c.rankOf(s)
 	}
 	c.ranking = ranking.New(c.ranks())
-	slices.SortStableFunc(c.waiting, func(a, b *stepState) int { return c.ranking.Compare(a.rank, b.rank) })
+	slices.SortStableFunc(c.waitingSteps, func(a, b *stepState) int { return c.ranking.Compare(a.rank, b.rank) })
 }
 
-// ranks ranges over the ranks of what waits.
+// ranks iterates over the ranks of the waiting steps.
 func (c *Cell) ranks() iter.Seq[ranking.Rank] {
 	return func(yield func(ranking.Rank) bool) {
-		for _, s := range c.waiting {
+		for _, s := range c.waitingSteps {
 			if !yield(s.rank) {
 				return
 			}
@@ -34,59 +33,58 @@
 	}
 }
 
-// await puts a step among those that wait, where its urgency belongs.
-func (c *Cell) await(s *stepState) {
+// insertWaiting inserts a step into the waiting steps by its rank.
+func (c *Cell) insertWaiting(s *stepState) {
 	s.queued = true
 	s.rank = c.rankOf(s)
-	at, _ := slices.BinarySearchFunc(c.waiting, s, func(other, s *stepState) int {
+	at, _ := slices.BinarySearchFunc(c.waitingSteps, s, func(other, s *stepState) int {
 		if c.ranking.Compare(other.rank, s.rank) > 0 {
 			return 1
 		}
-		return -1 // among equals the newest goes last
+		return -1 // the newest goes last among equal ranks
 	})
-	c.waiting = slices.Insert(c.waiting, at, s)
+	c.waitingSteps = slices.Insert(c.waitingSteps, at, s)
 }
 
-// orderEvery is the time between two looks at how jobs stand. Objectives are
-// seconds long.
-const orderEvery = 200 * time.Millisecond
+// sortInterval is the time between two sorts of the waiting steps. Objectives are seconds
+// long.
+const sortInterval = 200 * time.Millisecond
 
-// lastingPatience is how long a lasting task that waits for room lets urgent
-// jobs that came after it go first. It serves for a minute or more, so that
-// some seconds cost it little, while the job would be late.
-const lastingPatience = 20 * time.Second
+// lastingDelay is how long a waiting lasting task lets urgent jobs that arrived later go
+// first. It serves for a minute or more, so that some seconds cost it little, while the
+// urgent job would be late.
+const lastingDelay = 20 * time.Second
 
-// rankOf returns the rank of a step, by rough estimates.
+// rankOf returns the rank of a step, based on rough estimates.
 func (c *Cell) rankOf(s *stepState) ranking.Rank {
 	j := s.job
 	r := ranking.Rank{Priority: j.terms.Priority}
 	if s.spec.Lasting {
-		r.Due = j.arrived + lastingPatience
+		r.Due = j.acceptedAt + lastingDelay
 		return r
 	}
-	begun, objective := j.begin(s.round), j.objective()
-	r.Due = begun + objective - j.chainFrom(s.number)
-	r.Standing = ranking.StandingOf(c.now, begun, r.Due, objective)
+	startable, objective := j.startableSince(s.round), j.objective()
+	r.Due = startable + objective - j.chainFrom(s.number)
+	r.Standing = ranking.StandingOf(c.now, startable, r.Due, objective)
 	if s.spec.Fills {
-		r.Work = s.round.work()
+		r.Work = s.round.remainingWork()
 	}
 	return r
 }
 
-// work returns the work that is left of a round by its estimates, in core-seconds.
-func (r *round) work() float64 {
+// remainingWork returns the estimated remaining work of a round, in core-seconds.
+func (r *round) remainingWork() float64 {
 	work := 0.0
 	for _, s := range r.steps {
-		cores := float64(s.spec.Need.Processors) / milliPerCore
-		work += float64(s.left) * cores * s.spec.Estimate.Seconds()
+		cores := float64(s.spec.Need.Processors) / millicoresPerCore
+		work += float64(s.tasksLeft) * cores * s.spec.Estimate.Seconds()
 	}
 	return work
 }
 
-// milliPerCore is how many thousandths a core has.
-const milliPerCore = 1000
+const millicoresPerCore = 1000
 
-// objective returns how long a job may take, by rough estimates.
+// objective returns how long a job may take, based on rough estimates.
 func (j *jobState) objective() time.Duration {
 	return time.Duration(max(j.terms.Stretch, 1)*float64(j.chain())) + j.terms.Objective
 }
--- a/cell/urgency_test.go
+++ b/cell/urgency_test.go
@@ -9,13 +9,13 @@
 	"github.com/dogwoodladder/dogwoodladder/job"
 )
 
-// TestUrgentGoesBeforeLasting plays a full worker: urgent jobs go before a
-// lasting one that waits as well, but not for ever.
+// TestUrgentGoesBeforeLasting checks on a full worker that urgent jobs go before a waiting
+// lasting one, but not forever.
 func TestUrgentGoesBeforeLasting(t *testing.T) {
 	tests := []struct {
-		name   string
-		urgent int           // jobs, one each half second, that each take the worker for that time
-		by     time.Duration // when the lasting task has begun
+		name      string
+		urgent    int           // jobs, one every half second, each of which uses the worker for as long
+		startedBy time.Duration // when the lasting task has begun
 	}{
 		{"one urgent job", 1, 5 * time.Second},
 		{"urgent jobs without end", 60, 16 * time.Second},
@@ -24,9 +24,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 1, 1, 1)
-			s.length = func(task string) time.Duration {
+			s.duration = func(task string) time.Duration {
 				switch {
-				case s.lasts(task):
+				case s.isLasting(task):
 					return time.Hour
 				case task == jobID(0)+".0.0.0":
 					return 3 * time.Second
@@ -34,7 +34,7 @@
 				return 500 * time.Millisecond
 			}
 			s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(1, 6)}})
-			s.owners[0].take()
+			s.owners[0].takeOver()
 			s.after(time.Second, func() {
 				lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(1, 6)}}
 				lasting.Steps[0].Lasting = true
@@ -47,9 +47,9 @@
 			}
 			s.run(4 * time.Second)
 			is.Equal(s.state(jobID(2)), "completed") // the first of them
-			s.run(tt.by)
+			s.run(tt.startedBy)
 			is.Equal(s.state(jobID(1)), "running")
-			is.Equal(s.broken, nil)
+			is.Equal(s.violations, nil)
 		})
 	}
 }
--- a/cell/wave_test.go
+++ b/cell/wave_test.go
@@ -12,37 +12,38 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Guards against upkeep under tasks, as the record of an earlier worker of the machine was emptied.
-func TestUpkeepEmptiesTheLifeThatIsThere(t *testing.T) {
+// Guards against a machine that goes down under its tasks because a recorded earlier
+// worker of the machine was drained instead of the current one.
+func TestUpkeepDrainsCurrentIncarnation(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 2, 1)
-	s.length = func(string) time.Duration { return time.Hour }
+	s.duration = func(string) time.Duration { return time.Hour }
 	s.tail = func(string, *fakeWorker) time.Duration { return 0 }
 	lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(4, 4)}}
 	lasting.Steps[0].Lasting = true
 	lasting.Steps[0].MayMiss = 2
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.after(time.Second, func() { s.workers[0].crash(190*time.Millisecond, 7) })
-	s.after(1195*time.Millisecond, func() { s.workers[0].host.Address = "10.0.1.0:1" }) // so that nothing answers for the first
+	s.after(1195*time.Millisecond, func() { s.workers[0].host.Address = "10.0.1.0:1" }) // so that the first incarnation doesn't answer
 	s.after(4200*time.Millisecond, func() { s.submit(lasting) })
 	s.after(6*time.Second, func() {
 		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, Most: 1}}})
 	})
-	ran := 0
-	s.taken = func(w *fakeWorker) { ran = len(w.runs) }
+	runsAtUpkeep := 0
+	s.onUpkeep = func(w *fakeWorker) { runsAtUpkeep = len(w.runs) }
 	s.run(20 * time.Second)
-	is.Equal(s.broken, nil)
+	is.Equal(s.violations, nil)
 	is.True(s.waves[3])
-	is.Equal(ran, 0) // they had been stopped before
+	is.Equal(runsAtUpkeep, 0) // they had been stopped before
 }
 
-// TestWave plays a wave of upkeep beside a step that may miss one task: every
-// machine has its upkeep once, no more are down at once than the wave allows,
-// and it is said to be completed only then. A takeover changes nothing.
+// TestWave runs a maintenance wave beside a step that tolerates one missing task: every
+// machine has its upkeep once, no more machines are down at once than the wave allows, and
+// the wave is reported as completed only at the end. This also holds across a takeover.
 func TestWave(t *testing.T) {
 	tests := []struct {
 		name     string
-		most     int
+		maxDown  int
 		takeover time.Duration // zero for none
 	}{
 		{"one at a time", 1, 0},
@@ -53,79 +54,81 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSite(t, 1, 5, 2)
-			s.length = func(string) time.Duration { return time.Hour }
+			s.duration = func(string) time.Duration { return time.Hour }
 			s.tail = func(string, *fakeWorker) time.Duration { return 0 }
-			s.wanted = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: tt.most, Within: time.Minute}}
+			s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: tt.maxDown, Within: time.Minute}}
 			lasting := &job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(4, 2)}}
 			lasting.Steps[0].Lasting = true
 			lasting.Steps[0].MayMiss = 1
 			s.submit(lasting)
-			s.owners[0].take()
+			s.owners[0].takeOver()
 			if tt.takeover > 0 {
-				s.after(tt.takeover, func() { s.takeover(0, 1) })
+				s.after(tt.takeover, func() { s.replaceOwner(0, 1) })
 			}
 			var watch func()
 			watch = func() {
-				if down := s.down(); down > tt.most {
-					s.violate("%d machines are down", down)
+				if down := s.downCount(); down > tt.maxDown {
+					s.recordViolation("%d machines are down", down)
 				}
-				if s.waves[3] && len(s.upkeeps) < 4 {
-					s.violate("the wave is completed with %d of 4 machines", len(s.upkeeps))
+				if s.waves[3] && len(s.upkeepCount) < 4 {
+					s.recordViolation("the wave is completed with %d of 4 machines", len(s.upkeepCount))
 				}
 				s.after(50*time.Millisecond, watch)
 			}
 			s.after(0, watch)
 			s.run(50 * time.Second)
-			is.Equal(s.broken, nil)
+			is.Equal(s.violations, nil)
 			is.True(s.waves[3])
 			for i := range 4 {
-				is.Equal(s.upkeeps[fmt.Sprintf("m%d", i)], 1)
+				is.Equal(s.upkeepCount[fmt.Sprintf("m%d", i)], 1)
 			}
 		})
 	}
 }
 
-// Guards against a wave that doesn't notice that a machine is back, as its worker has its old ID.
+// Guards against a wave that doesn't notice that a machine is back because its worker has
+// its old ID.
 func TestWaveOfWorkersThatKeepTheirIDs(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 2, 5, 1)
-	s.keepNames = true
-	s.wanted = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: 1, Within: time.Minute}}
-	s.owners[0].take()
-	most := 0
+	s.keepIDs = true
+	s.wantedWaves = []provider.Wave{{Number: 3, Machines: []string{"m0", "m1", "m2", "m3"}, Most: 1, Within: time.Minute}}
+	s.owners[0].takeOver()
+	maxDown := 0
 	var watch func()
 	watch = func() {
-		most = max(most, s.down())
-		s.after(tickTime, watch)
+		maxDown = max(maxDown, s.downCount())
+		s.after(tickInterval, watch)
 	}
 	s.after(0, watch)
 	s.run(5*time.Second + 4*(upkeepTime+time.Second))
-	is.Equal(s.broken, nil)
-	is.Equal(s.upkeeps, map[string]int{"m0": 1, "m1": 1, "m2": 1, "m3": 1})
+	is.Equal(s.violations, nil)
+	is.Equal(s.upkeepCount, map[string]int{"m0": 1, "m1": 1, "m2": 1, "m3": 1})
 	is.True(s.waves[3])
-	is.Equal(most, 1)
+	is.Equal(maxDown, 1)
 }
 
-// Guards against upkeep under the tasks of a worker that restarted while it was emptied.
-func TestUpkeepEmptiesAWorkerThatRestarts(t *testing.T) {
+// Guards against a machine that goes down under the tasks of a worker that restarted while
+// it was drained.
+func TestUpkeepDrainsRestartedWorker(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 3, 1)
-	s.length = func(string) time.Duration { return 800 * time.Millisecond }
+	s.duration = func(string) time.Duration { return 800 * time.Millisecond }
 	s.after(5700*time.Millisecond, func() { s.submit(&job.Job{ID: jobID(0), Spec: "x", Steps: []job.Step{step(12, 2)}}) })
-	s.owners[0].take()
+	s.owners[0].takeOver()
 	s.after(6*time.Second, func() {
 		s.owners[0].step(cell.Waves{Waves: []provider.Wave{{Number: 3, Machines: []string{"m0"}, Most: 1}}})
 	})
 	s.after(6100*time.Millisecond, func() {
-		is.True(len(s.workers[0].runs) > 0) // it is being emptied
-		s.workers[0].hangUp()
+		is.True(len(s.workers[0].runs) > 0) // it is being drained
+		s.workers[0].resetConnections()
 		s.workers[0].restart(100 * time.Millisecond)
 	})
 	s.after(6210*time.Millisecond, func() { s.submit(&job.Job{ID: jobID(1), Spec: "x", Steps: []job.Step{step(12, 2)}}) })
-	ran := -1
-	s.taken = func(w *fakeWorker) { ran = len(w.runs) }
-	s.run(quiet)
+	runsAtUpkeep := -1
+	s.onUpkeep = func(w *fakeWorker) { runsAtUpkeep = len(w.runs) }
+	s.run(settleTime)
 	s.mustComplete(2)
 	is.True(s.waves[3])
-	is.Equal(ran, 0)
+	is.Equal(runsAtUpkeep, 0)
 }
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -11,63 +11,63 @@
 	"github.com/dogwoodladder/dogwoodladder/resource"
 )
 
-// worker is a worker as the owner sees it.
+// worker is the owner's state of a worker's incarnation.
 type worker struct {
 	host        provider.Host
 	listed      bool          // on the platform's list
-	listedUntil time.Duration // off the list, it counts as on it until then
-	registered  bool          // on record, so that a successor asks it
+	listedUntil time.Duration // a worker off the list counts as listed until then
+	registered  bool          // on record, so that a successor asks it for its runs
 	leaving     bool          // its machine is about to go down; it gets no new tasks
-	asked       bool          // it has answered this owner; its runs are known
-	born        uint64        // start of the incarnation that answers, zero where that isn't known
-	lost        bool          // that incarnation of it is over
-	token       uint64        // of orders to it; see nextToken
-	since       time.Duration // when it became known
+	answered    bool          // it has answered this owner, so its runs are known
+	born        uint64        // start time of the incarnation that answers, zero if it isn't known
+	lost        bool          // the incarnation is gone
+	token       uint64        // fencing token of orders to it; see nextToken
+	knownSince  time.Duration
 
-	runs    map[string]*run // by task name
-	used    resource.Vector
-	filling int64           // thousandths of a core that filling runs would use
-	serving int             // serving runs
-	images  map[string]int  // serving runs by image
-	set     *colocation.Set // of the images, nil if it has to be looked up
+	runs              map[string]*run // by task name
+	used              resource.Vector
+	fillingProcessors int64           // thousandths of a core that filling runs would use
+	servingCount      int             // number of serving runs
+	images            map[string]int  // number of serving runs by image
+	imageSet          *colocation.Set // colocation data of images, nil if it has to be looked up
 
-	room      []pressure.Room // slack of the serving runs, as last reported
-	fillAfter time.Duration   // no new filling tasks before then
-	gone      []gone          // filling tasks that ended a moment ago
-	overSince time.Duration   // since when a serving task is over its target, zero if none is
+	slack           []pressure.Room // slack of the serving runs, from the last report
+	noFillUntil     time.Duration   // no new filling tasks before then
+	endedFills      []endedFill     // filling tasks that ended recently
+	overTargetSince time.Duration   // since when a serving task exceeds its target, zero if none does
 
-	clock    int64         // as last reported, milliseconds
-	clockAt  time.Duration // when that report arrived
-	madeAt   time.Duration // when it was made, at the earliest
-	deadline int64         // latest lease end that was sent, on the worker's clock
+	clock         int64         // in the last report, in milliseconds
+	clockReadAt   time.Duration // when that report arrived
+	answeredAt    time.Duration // earliest time at which the last answer can have been made
+	leaseDeadline int64         // latest lease end that was sent, on the worker's clock
 
-	touched   bool   // it may have room since the last look for starts
-	wasUsable bool   // at that look
-	changed   uint64 // number of the last look before which it was touched
+	changedSincePass bool   // it may have gained free capacity since the last dispatch pass
+	wasUsable        bool   // in the last dispatch pass
+	changedInPass    uint64 // number of the last dispatch pass that found it changed
 
-	holding bool          // a hold is under way
-	holdAt  time.Duration // when the next one is due
-	vouched bool          // the platform says that its machine is up, though it is silent
-	misses  int           // holds without an answer, in a row
-	silent  time.Duration // when the first of these was missed
+	holdInFlight bool
+	nextHoldAt   time.Duration
+	machineUp    bool          // the platform lists its machine as up although it is silent
+	missedHolds  int           // holds in a row without an answer
+	silentSince  time.Duration // when the first of these failed
 
-	startedAt  time.Duration // when a task was last started on it
-	startedJob *jobState     // and of which job
-	trial      *jobState     // whose tasks are tried on it, nil if none are
-	trials     int           // runs that are trials
+	lastStartAt  time.Duration
+	lastStartJob *jobState // job of the last start
+	trialJob     *jobState // job whose tasks are on trial on it, nil if none is
+	trialCount   int       // runs that are trials
 
-	heard    time.Duration // last answer
-	ended    uint64        // highest end that was handled
-	seen     uint64        // highest end that is on record
-	sentSeen uint64        // highest end that the hold under way acknowledges
-	forgot   uint64        // highest end that was acknowledged for certain
-	failures int           // of different tasks, in a row
-	resting  time.Duration // in quarantine until then
-	suspect  bool          // it hasn't completed a task since its quarantine began
-	probes   int           // runs that were started on it since
+	lastContact   time.Duration // when it last answered
+	handledEnd    uint64        // highest end that was handled
+	recordedEnd   uint64        // highest end that is on record
+	sentAck       uint64        // highest end that the hold in flight acknowledges
+	forgottenEnd  uint64        // highest end that the worker has certainly forgotten
+	failures      int           // tasks in a row that failed
+	noStartsUntil time.Duration // in quarantine, or paused after a refusal
+	onProbation   bool          // it hasn't completed a task since its quarantine began
+	probeCount    int           // runs that were started during the probation
 }
 
-// runState is how far a run is.
+// runState is the state of a run.
 type runState uint8
 
 const (
@@ -76,45 +76,45 @@
 	runStopping
 )
 
-// run is one attempt at a task on a worker. It holds its share of the
-// worker's capacity from the order to start until its end is known.
+// run is one attempt at a task on a worker. It holds its share of the worker's capacity
+// from the order to start until its end is known.
 type run struct {
-	task        *task // nil for a run that belongs to no job known
-	name        string
-	worker      *worker
-	attempt     uint64
-	state       runState
-	need        resource.Vector
-	deadline    int64 // on the worker's clock: a start is refused after it
-	began       time.Duration
-	begunClock  int64 // by when it had begun, on the worker's clock; zero while that isn't known
-	stopSent    time.Duration
-	percent     int
-	advanced    time.Duration // when percent last grew
-	pace        int           // percent of full speed, or unknownPace
-	tail        time.Duration // of a serving run
-	use         int64         // thousandths of a core in use, of one that doesn't serve
-	exposure    exposure      // of a filling run
-	paced       time.Duration // when pace was set
-	slowed      time.Duration // lost by working below full speed before then
-	slowSince   time.Duration // since when it hardly works by our order, zero if it does
-	probe       bool          // started while its worker was suspect
-	trial       bool          // whether it shows that its task crashes workers
-	listedClock int64         // of the last report that shows it
+	task            *task // nil for a run whose job isn't known
+	name            string
+	worker          *worker
+	attempt         uint64
+	state           runState
+	need            resource.Vector
+	deadline        int64 // on the worker's clock: a start is refused after it
+	orderedAt       time.Duration
+	startedClock    int64 // by when it had begun, on the worker's clock; zero if unknown
+	stopSentAt      time.Duration
+	percent         int
+	advancedAt      time.Duration // when percent last grew
+	pace            int           // percent of full speed, or unknownPace
+	tail            time.Duration // tail latency of a serving run
+	processorsUsed  int64         // thousandths of a core in use, of a run that isn't serving
+	exposure        exposure      // of a filling run
+	paceSetAt       time.Duration
+	timeLost        time.Duration // lost to throttling before paceSetAt
+	slowSince       time.Duration // since when its pace has been below minPace, zero if it isn't
+	probe           bool          // started while its worker was on probation
+	trial           bool          // it shows whether its task crashes workers
+	lastListedClock int64         // worker's clock in the last report that lists it
 }
 
 func (c *Cell) addWorker(h provider.Host) *worker {
 	w := &worker{
-		host:   h,
-		runs:   make(map[string]*run),
-		images: make(map[string]int),
-		holdAt: c.now,
-		heard:  c.now,
-		token:  c.nextToken(h.ID),
-		since:  c.now,
+		host:        h,
+		runs:        make(map[string]*run),
+		images:      make(map[string]int),
+		nextHoldAt:  c.now,
+		lastContact: c.now,
+		token:       c.nextToken(h.ID),
+		knownSince:  c.now,
 	}
 	c.workers[h.ID] = w
-	c.all = nil
+	c.sortedWorkers = nil
 	c.joinPool(w, h.Service)
 	return w
 }
@@ -134,51 +134,49 @@
 
 func (c *Cell) dropWorker(w *worker) {
 	delete(c.workers, w.host.ID)
-	c.tokens[w.host.ID] = w.token + 1
-	c.all = nil
+	c.nextTokens[w.host.ID] = w.token + 1
+	c.sortedWorkers = nil
 	c.leavePool(w)
-	if w.asked || w.registered {
-		c.saves.unregister(w) // also if its record is only on its way
+	if w.answered || w.registered {
+		c.writer.unregister(w) // also if its record is still being written
 	}
 }
 
-// usable reports whether new tasks may be started on a worker.
-func (c *Cell) usable(w *worker) bool {
-	return w.registered && c.onList(w) && w.entered() && w.asked && !w.lost && !w.leaving && !w.host.Draining && !c.cordoned[w.host.AvailabilityZone] &&
-		w.misses == 0 && c.now-w.heard < c.timing.IdleWait+c.timing.Silence && c.now >= w.resting
+// isUsable reports whether new tasks may be started on a worker.
+func (c *Cell) isUsable(w *worker) bool {
+	return w.registered && c.isListed(w) && w.hasCurrentEntry() && w.answered && !w.lost && !w.leaving && !w.host.Draining && !c.cordonedZones[w.host.AvailabilityZone] &&
+		w.missedHolds == 0 && c.now-w.lastContact < c.timing.IdleWait+c.timing.MaxSilence && c.now >= w.noStartsUntil
 }
 
-// clockNow returns the worker's clock, as reported and aged. A worker's clock
-// may be slow, so the estimate is rather late than early; a deadline made
-// from it is never too short.
-func (c *Cell) clockNow(w *worker) int64 {
-	return w.clock + (c.now - w.clockAt).Milliseconds()
+// estimateClock returns the worker's clock, as reported and aged. A worker's clock may run
+// slow, so the estimate may be ahead but not behind, and a deadline computed from it is
+// never too short.
+func (c *Cell) estimateClock(w *worker) int64 {
+	return w.clock + (c.now - w.clockReadAt).Milliseconds()
 }
 
-// leaseEnds returns when the last lease that was sent to a worker has
-// certainly ended.
-func (c *Cell) leaseEnds(w *worker) time.Duration {
-	if w.deadline == 0 {
-		return w.clockAt
+// leaseEndsAt returns when the last lease that was sent to a worker has certainly expired.
+func (c *Cell) leaseEndsAt(w *worker) time.Duration {
+	if w.leaseDeadline == 0 {
+		return w.clockReadAt
 	}
-	left := time.Duration(w.deadline-w.clock) * time.Millisecond
-	return w.clockAt + c.timing.stretched(max(0, left))
+	left := time.Duration(w.leaseDeadline-w.clock) * time.Millisecond
+	return w.clockReadAt + c.timing.stretch(max(0, left))
 }
 
-// register puts a worker on record, so that a successor asks it what it runs. One
-// that never answered was never given a task: an entry may name a worker that
-// isn't there, and a successor would wait for its answer, and then for the end of
-// the longest lease, before it starts any task of a job that had begun, 18 s in
-// all.
+// register puts a worker on record, so that a successor asks it for its runs. Workers that
+// never answered aren't registered, and get no tasks: a list entry may name a worker that
+// doesn't exist, and a successor would wait for its answer and then for the end of the
+// longest lease, 18 s in all, before it starts any task of a job that had begun.
 func (c *Cell) register(w *worker) {
 	if !w.registered {
-		c.saves.register(w)
+		c.writer.register(w)
 	}
 }
 
-// record returns what is put on record of a worker, nil for none. It tells of the
-// incarnation that answered, which the entry may not do yet.
-func (w *worker) record() *provider.Host {
+// hostRecord returns the record of a worker, nil for none. It identifies the incarnation
+// that answered, which may be newer than the entry on the list.
+func (w *worker) hostRecord() *provider.Host {
 	if w == nil {
 		return nil
 	}
@@ -187,60 +185,59 @@
 	return &h
 }
 
-// lose gives up a worker that is down.
-func (c *Cell) lose(w *worker, reason string) {
+// loseWorker gives up a worker that is down.
+func (c *Cell) loseWorker(w *worker, reason string) {
 	if w.lost {
 		return
 	}
 	c.endIncarnation(w, reason)
-	c.surveyed(w)
+	c.markSurveyed(w)
 }
 
-// endIncarnation ends what ran on a worker, and drops it.
+// endIncarnation ends the runs of a worker's incarnation and drops it.
 func (c *Cell) endIncarnation(w *worker, reason string) {
 	w.lost = true
-	f := c.failureOf(w)
-	c.noteLost(w, reason, f)
+	f := c.classifyFailure(w)
+	c.logWorkerLost(w, reason, f)
 	if !w.leaving {
-		c.crashAll(w, f)
+		c.countCrashes(w, f)
 	}
 	if !w.leaving && !w.host.Draining {
-		c.survey.noteCrash(w)
+		c.survey.recordCrash(w)
 	}
-	c.noteDown(w, c.downSpan(w))
+	c.recordDown(w, c.crashSpanOf(w))
 	for _, r := range inOrder(w.runs) {
-		if c.mayBegin(r) {
-			c.keepStart(r)
+		if c.mayStillStart(r) {
+			c.deferStart(r)
 		} else {
 			c.endRun(r, provider.EndLost, "")
 		}
 	}
 	c.dropWorker(w)
-	c.relist(w)
+	c.addListedSuccessor(w)
 }
 
-// checkWorkers looks for leases that ran out, stops to repeat and tasks that
-// hang.
+// checkWorkers checks for expired leases, stops to repeat and hanging tasks, and expires
+// other state.
 func (c *Cell) checkWorkers() {
 	for _, w := range c.everyWorker() {
-		if w.misses > 0 {
+		if w.missedHolds > 0 {
 			c.checkLease(w)
 		}
 		c.checkRuns(w)
 	}
-	c.dropKept()
-	c.dropStarts()
-	c.forgetDown()
-	c.checkSurvey()
+	c.expireReservations()
+	c.expireStarts()
+	c.expireDown()
+	c.expireSurvey()
 }
 
-// checkRuns deals with the runs of a worker that are overdue. There are few of them
-// among all, and only they are put in order: to sort all ten times a second takes a
-// small owner a quarter of its decisions.
+// checkRuns handles the overdue runs of a worker. Only the few overdue runs are sorted:
+// sorting all runs ten times a second would cost a small owner a quarter of its decisions.
 func (c *Cell) checkRuns(w *worker) {
 	var overdue map[string]*run
 	for name, r := range w.runs {
-		if !c.overdue(r) {
+		if !c.isOverdue(r) {
 			continue
 		}
 		if overdue == nil {
@@ -253,36 +250,36 @@
 	}
 }
 
-// checkLease gives up a worker that is out of reach once its lease has ended.
-// An owner that was replaced without knowing would start a task again that
-// its successor keeps running. So the lease's end counts only after a write
-// that was fenced by our term succeeded later than it.
+// checkLease gives up the runs of an unreachable worker once its lease has expired. An
+// owner that was replaced without knowing it would start a task again that its successor
+// keeps running. So the lease only counts as expired after a later write succeeded that is
+// fenced by this owner's term.
 func (c *Cell) checkLease(w *worker) {
-	if !w.asked {
-		if !w.registered && !c.onList(w) {
-			c.dropWorker(w) // it never answered, and isn't listed any more
+	if !w.answered {
+		if !w.registered && !c.isListed(w) {
+			c.dropWorker(w) // it never answered, and is no longer listed
 		}
 		return
 	}
-	ends := c.leaseEnds(w)
-	if c.now < ends || c.saves.contact < ends {
+	ends := c.leaseEndsAt(w)
+	if c.now < ends || c.writer.lastContact < ends {
 		return
 	}
 	if len(w.runs) > 0 {
-		c.note("lease ended", "worker", w.host.ID, "runs", len(w.runs), "silent", c.now-w.heard)
-		if !w.vouched { // it may have crashed, or be cut off
-			c.crashAll(w, failure{others: 1, correlated: c.failureOf(w).correlated})
+		c.logEvent("lease ended", "worker", w.host.ID, "runs", len(w.runs), "silent", c.now-w.lastContact)
+		if !w.machineUp { // it may have crashed, or be partitioned
+			c.countCrashes(w, workerFailure{simultaneous: 1, correlated: c.classifyFailure(w).correlated})
 		}
 		for _, r := range inOrder(w.runs) {
 			c.endRun(r, provider.EndLapsed, "")
 		}
-		c.changed = true
+		c.needsDispatch = true
 	}
-	if !w.listed && c.now-w.heard > forgetAfter {
-		c.lose(w, "unlisted and silent")
+	if !w.listed && c.now-w.lastContact > forgetTimeout {
+		c.loseWorker(w, "unlisted and silent")
 	}
 }
 
-// forgetAfter is how long a worker that left the platform's list may be silent
-// before it is forgotten. It is above every lease.
-const forgetAfter = 15 * time.Second
+// forgetTimeout is how long a worker that left the platform's list may be silent before it
+// is dropped. It is longer than every lease.
+const forgetTimeout = 15 * time.Second
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -1,49 +1,49 @@
-// Package crash tells a task that crashes the workers it is started on from a sound
-// one that was on them by chance.
+// Package crash tells tasks that crash their workers from healthy tasks that were running
+// on a worker when it crashed for another reason.
 //
 // Usage:
 //
-//	h.Crashed(attempt, alone) // a worker went down under a start of the task
+//	h.RecordCrash(attempt, inTrial) // a worker went down just after a start of the task
 //	if h.GiveUp() {
 //		fail(job)
 //	}
 //	if h.Suspect() {
-//		h.Try(host) // on record before the next start, which is a trial
+//		h.RecordStart(incarnation) // saved before the next start, which is a trial
 //	}
 //
-// What goes wrong without it: a run that is lost with its worker is no failed
-// attempt, so the task is started on the next worker, which crashes too, and so on
-// without an end; each takes what else runs there with it. One notices workers that
-// go down one after the other, each some milliseconds after a start of the same task.
+// A run that is lost with its worker isn't a failed attempt, so without this package a
+// task that crashes its worker would be started on one worker after the other without end,
+// and take the other tasks there with it. The symptom is a series of workers that go down
+// some milliseconds after a start of the same task.
 //
-// To count crashes isn't enough. A rack without power, or a task beside it that
-// crashes workers, takes down sound tasks as well, some of them twice within seconds.
-// So a task that was there becomes a suspect, and its next start is a trial: nothing
-// else has just been started on that worker, nor is until the trial has gone well.
-// A worker that crashes in a trial is evidence against it, unless others went down with
-// it. A trial that goes well clears the task. Crashes that others share for certain, as
-// half of a rack goes down at once, aren't counted at all.
+// Counting crashes alone isn't enough. A rack that loses power, or another task that
+// crashes the worker, takes down healthy tasks as well, some of them twice within seconds.
+// So a task that was on a crashed worker becomes a suspect, and its next start is a trial:
+// no other job has just been started on that worker, and none is until the trial has
+// ended. A crash during a trial is evidence against the task, unless other workers went
+// down at the same time. A successful trial clears the task. Crashes that certainly have a
+// shared cause, such as half of a rack going down at once, aren't counted at all.
 package crash
 
-// Bounds on what a task may do to workers.
+// Bounds on the crashes of a task's workers.
 const (
-	// trialBound is how many workers have to crash in trials. One may fail by
-	// chance within the third of a second that a trial takes, hardly two in a row.
-	trialBound = 2
-	// crashBound is how many may crash in any case. It is reached where trials
-	// tell nothing, as other workers go down at the same moments.
-	crashBound = 4
+	// maxTrialCrashes is how many workers have to crash in trials. One may fail by chance
+	// within the third of a second that a trial takes, two in a row hardly.
+	maxTrialCrashes = 2
+	// maxCrashes is how many workers may crash in any case. It is reached if trials are
+	// inconclusive because other workers go down at the same moments.
+	maxCrashes = 4
 )
 
-// History is what is known of a task whose workers crashed just after its start. The
-// zero History is that of a task without any.
+// History is the crash history of a task. The zero History is that of a task without
+// crashes.
 type History struct {
-	Crashes   int    `cbor:"1,keyasint,omitempty"` // workers that crashed under the task
-	Alone     int    `cbor:"2,keyasint,omitempty"` // of them, in trials with nothing else to explain it
-	Attempt   uint64 `cbor:"3,keyasint,omitempty"` // of the last crash
-	LastAlone bool   `cbor:"4,keyasint,omitempty"` // whether that one counts in Alone
-	Trying    bool   `cbor:"5,keyasint,omitempty"` // a start may be under way
-	Host      string `cbor:"6,keyasint,omitempty"` // on which incarnation of a worker, empty if that isn't known
+	Crashes         int    `cbor:"1,keyasint,omitempty"` // workers that crashed just after a start of the task
+	CrashesInTrials int    `cbor:"2,keyasint,omitempty"` // of them, those in trials without another explanation
+	Attempt         uint64 `cbor:"3,keyasint,omitempty"` // attempt of the last crash
+	LastInTrial     bool   `cbor:"4,keyasint,omitempty"` // whether the last crash counts in CrashesInTrials
+	StartPending    bool   `cbor:"5,keyasint,omitempty"` // a start may be in flight
+	Incarnation     string `cbor:"6,keyasint,omitempty"` // worker incarnation of that start, empty if unknown
 }
 
 // Suspect reports whether the next start has to be a trial.
@@ -51,55 +51,55 @@
 	return h.Crashes > 0
 }
 
-// GiveUp reports whether the task isn't to be started any more.
+// GiveUp reports whether the task must not be started any more.
 func (h *History) GiveUp() bool {
-	return h.Alone >= trialBound || h.Crashes >= crashBound
+	return h.CrashesInTrials >= maxTrialCrashes || h.Crashes >= maxCrashes
 }
 
-// Try puts down that the task is about to be started on an incarnation of a worker. It
-// has to be on record before that: an owner that is killed while the worker crashes
-// would leave no trace of it, and its successor would start the task as often again.
-func (h *History) Try(host string) {
-	h.Trying = true
-	h.Host = host
+// RecordStart records that the task is about to be started on an incarnation of a worker.
+// The history has to be saved before the start: if the owner is killed while the worker
+// crashes, its successor would otherwise know nothing of the crash and repeat the start.
+func (h *History) RecordStart(incarnation string) {
+	h.StartPending = true
+	h.Incarnation = incarnation
 }
 
-// Untried takes that back: the start was never carried out.
-func (h *History) Untried() {
-	h.Trying = false
-	h.Host = ""
+// RetractStart retracts the recorded start because it was never carried out.
+func (h *History) RetractStart() {
+	h.StartPending = false
+	h.Incarnation = ""
 }
 
-// Crashed counts a worker that crashed under an attempt. Alone says that it was in a
-// trial, and nothing else explains the crash.
-func (h *History) Crashed(attempt uint64, alone bool) {
-	h.Untried()
+// RecordCrash counts a crash of a worker under an attempt. inTrial says that the attempt
+// was a trial and the crash has no other explanation.
+func (h *History) RecordCrash(attempt uint64, inTrial bool) {
+	h.RetractStart()
 	h.Crashes++
 	h.Attempt = attempt
-	h.LastAlone = alone
-	if alone {
-		h.Alone++
+	h.LastInTrial = inTrial
+	if inTrial {
+		h.CrashesInTrials++
 	}
 }
 
-// Vanished ends a start of an earlier owner of which nothing is found, and whose
-// worker has crashed.
-func (h *History) Vanished() {
-	if h.Trying {
-		h.Crashed(0, false)
+// ResolveCrashedStart counts a crash for a recorded start of an earlier owner that has no
+// run, and whose worker may have crashed.
+func (h *History) ResolveCrashedStart() {
+	if h.StartPending {
+		h.RecordCrash(0, false)
 	}
 }
 
-// Alive takes back the crash under an attempt that is seen to run, or to have ended:
-// its worker was silent, and didn't crash.
-func (h *History) Alive(attempt uint64) {
+// RetractCrash retracts the crash of an attempt that is still running or has ended: its
+// worker was silent, but didn't crash.
+func (h *History) RetractCrash(attempt uint64) {
 	if h.Crashes == 0 || h.Attempt != attempt {
 		return
 	}
 	h.Crashes--
 	h.Attempt = 0
-	if h.LastAlone {
-		h.Alone--
-		h.LastAlone = false
+	if h.LastInTrial {
+		h.CrashesInTrials--
+		h.LastInTrial = false
 	}
 }
