--- a/cell/advice.go
+++ b/cell/advice.go
@@ -91,7 +91,7 @@
 	c.needsDispatch = true
 	if in.Err != nil {
 		c.adviceRetryAt = c.now + adviceRetryInterval
-		c.logEvent("no advice", "job", in.Job, "step", in.Step, "err", in.Err)
+		c.logEvent("advice request failed", "job", in.Job, "step", in.Step, "err", in.Err)
 		return
 	}
 	s := c.stepOf(in.Job, in.Round, in.Step)
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -133,7 +133,7 @@
 	}
 	if data := recorded.Learned(); len(data) > 0 {
 		if err := c.pressure.Load(data); err != nil {
-			c.logEvent("weights not loaded", "err", err)
+			c.logEvent("learned weights not loaded", "err", err)
 		}
 	}
 	for _, e := range inOrder(entries) {
--- a/cell/end.go
+++ b/cell/end.go
@@ -45,7 +45,7 @@
 func (c *Cell) endUntracked(t *task) {
 	c.unqueue(t)
 	if t.run != nil {
-		c.stopRun(t.run, "done elsewhere")
+		c.stopRun(t.run, "task already completed")
 	}
 	c.completeTask(t)
 }
@@ -103,7 +103,7 @@
 func (c *Cell) breakGang(s *stepState) {
 	for _, m := range s.tasks {
 		if m.run != nil {
-			c.stopRun(m.run, "gang broken")
+			c.stopRun(m.run, "another gang member ended")
 		}
 	}
 }
--- a/cell/evacuate.go
+++ b/cell/evacuate.go
@@ -20,7 +20,7 @@
 		spec := r.task.step.spec
 		lasting := spec.Lasting && (w.host.Draining || r.task.step.canMiss(r))
 		if lasting || spec.Checkpoints && !spec.Gang {
-			c.stopRun(r, "worker leaves")
+			c.stopRun(r, "worker is leaving")
 		}
 	}
 }
--- a/cell/machines.go
+++ b/cell/machines.go
@@ -52,7 +52,7 @@
 func (c *Cell) handleMachineList(in MachineList) {
 	c.machineListInFlight = false
 	if in.Err != nil {
-		c.logEvent("machines not listed", "err", in.Err)
+		c.logEvent("list of machines unavailable", "err", in.Err)
 		return
 	}
 	byMachine := make(map[string]*provider.Machine, len(in.Machines))
@@ -98,7 +98,7 @@
 	case m.State == provider.MachineUnknown:
 		return ""
 	case m.Host != "" && m.Host != w.host.ID:
-		return "machine carries another worker"
+		return "machine runs another worker"
 	case m.State != provider.MachineUp:
 		return "machine isn't up"
 	}
--- a/cell/relocate.go
+++ b/cell/relocate.go
@@ -67,7 +67,7 @@
 		return
 	}
 	c.reserve(t, target)
-	c.stopRun(r, "keeps filling tasks off")
+	c.stopRun(r, "moved to free the worker for filling tasks")
 }
 
 // reserve reserves capacity for a task on a worker.
--- a/cell/report.go
+++ b/cell/report.go
@@ -72,7 +72,7 @@
 		r.need = c.jobs[id.Job].job.Steps[id.Step].Reserved()
 	}
 	w.used = w.used.Add(r.need)
-	c.stopRun(r, "not wanted")
+	c.stopRun(r, "run not needed")
 	return r
 }
 
--- a/cell/run.go
+++ b/cell/run.go
@@ -281,7 +281,7 @@
 		w.failures++ // a filling task may just find no idle processors
 		c.quarantineIfFailing(w)
 	}
-	c.stopRun(r, "no advance")
+	c.stopRun(r, "no progress")
 }
 
 // stallTimeout returns how long a run may show no progress. Progress is reported in whole
