--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -279,7 +279,7 @@
 // the other.
 func checkJob(id string, j *job.Job) error {
 	if j.ID != id {
-		return fault.New(fault.Invalid, "record of job %s tells of job %q", id, j.ID)
+		return fault.New(fault.Invalid, "record of job %s contains job %q", id, j.ID)
 	}
 	if err := j.Check(); err != nil {
 		return fault.Wrap(fault.Invalid, err, "record of job %s", id)
@@ -396,7 +396,7 @@
 		return fault.Wrap(fault.Invalid, err, "record of worker %s", id)
 	}
 	if h.ID != id || h.Address == "" {
-		return fault.New(fault.Invalid, "record of worker %s tells of %q at %q", id, h.ID, h.Address)
+		return fault.New(fault.Invalid, "record of worker %s contains worker %q with address %q", id, h.ID, h.Address)
 	}
 	c.hosts[id] = h
 	return nil
--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -201,10 +201,10 @@
 	listRead := d.prefetchList(ctx)
 	defer func() { <-listRead }()
 	if err := d.progress.Refresh(ctx); err != nil {
-		return fault.Wrap(fault.MayHaveRun, err, "read what was written before the claim")
+		return fault.Wrap(fault.MayHaveRun, err, "read stream %s after the claim", catalog.Progress)
 	}
 	if err := d.accepts.Refresh(ctx); err != nil {
-		return fault.Wrap(fault.MayHaveRun, err, "read what was accepted before the claim")
+		return fault.Wrap(fault.MayHaveRun, err, "read stream %s after the claim", catalog.Accepts)
 	}
 	return nil
 }
@@ -228,7 +228,7 @@
 	self := cell.Self{Instance: d.instance, Nonce: d.nonce, Term: term, Sequence: owner.Sequence}
 	c, err := cell.New(self, d.timing, d.catalog, d.clock(), time.Now())
 	if err != nil {
-		d.logger.Error("cell not taken", zap.Uint64("term", term), zap.Error(err))
+		d.logger.Error("creating the cell's state failed", zap.Uint64("term", term), zap.Error(err))
 		d.election.DelayClaim(d.clock())
 		return
 	}
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -157,7 +157,7 @@
 		return fault.New(fault.Unavailable, "the store rejects writes").After(rejectedRetryAfter)
 	}
 	if d := i.outage.duration(); d > 0 {
-		return fault.New(fault.Unavailable, "the store has given no answer for %v", d.Round(time.Millisecond)).After(retryAfter(d))
+		return fault.New(fault.Unavailable, "the store hasn't answered writes for %v", d.Round(time.Millisecond)).After(retryAfter(d))
 	}
 	ambiguous := false
 	rejections := 0
@@ -179,9 +179,9 @@
 		wait(ctx, intakeRetryInterval)
 	}
 	if ambiguous {
-		return fault.Wrap(fault.MayHaveRun, last, "not known to be on record")
+		return fault.Wrap(fault.MayHaveRun, last, "outcome of the write unknown")
 	}
-	return fault.Wrap(fault.Unavailable, last, "not on record").After(rejectedRetryAfter)
+	return fault.Wrap(fault.Unavailable, last, "not written").After(rejectedRetryAfter)
 }
 
 // rejectedRetryAfter is the Retry-After for a request whose record the store rejected. Most
@@ -200,16 +200,16 @@
 	select {
 	case i.pending <- e:
 	default:
-		return fault.New(fault.Overloaded, "too many requests wait to be written")
+		return fault.New(fault.Overloaded, "%d requests wait to be written already", cap(i.pending))
 	}
 	select {
 	case err := <-e.done:
 		return err
 	case <-ctx.Done():
 		if e.state.CompareAndSwap(writeWaiting, writeWithdrawn) {
-			return fault.Wrap(fault.Unavailable, ctx.Err(), "waited for other writes")
+			return fault.Wrap(fault.Unavailable, ctx.Err(), "not sent to the store, waiting for earlier writes")
 		}
-		return fault.Wrap(fault.MayHaveRun, ctx.Err(), "write without an answer")
+		return fault.Wrap(fault.MayHaveRun, ctx.Err(), "write not answered by the store")
 	}
 }
 
@@ -267,7 +267,7 @@
 		return nil
 	}
 	if err := d.accepts.Refresh(ctx); err != nil {
-		d.logger.Debug("not known whether it is a repeat", zap.String("job", j.ID), zap.Error(err))
+		d.logger.Debug("looking up a repeated job failed", zap.String("job", j.ID), zap.Error(err))
 		return nil
 	}
 	if _, known := d.catalog.State(j.ID); known {
@@ -282,9 +282,9 @@
 	case j.Scheduled():
 		return ""
 	case overload.Rejects(lag, j.Width(), rand.Float64()):
-		return fmt.Sprintf("what was accepted before waits %v for its orders", lag)
+		return fmt.Sprintf("the backlog of accepted jobs takes %v to start", lag)
 	case j.Lasting() && !b.HasRoom(j.Terms.Service, j.Terms.Priority):
-		return "urgent jobs wait for the room that it would take"
+		return fmt.Sprintf("urgent jobs wait for free capacity in pool %s", j.Terms.Service)
 	}
 	return ""
 }
@@ -321,7 +321,7 @@
 		return s, nil
 	}
 	if err := d.accepts.Refresh(ctx); err != nil {
-		return progress.Queued, fault.Wrap(fault.Unavailable, err, "look for job %s", id)
+		return progress.Queued, fault.Wrap(fault.Unavailable, err, "look up job %s", id)
 	}
 	s, known := d.catalog.State(id)
 	if !known {
@@ -341,7 +341,7 @@
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := d.progress.Refresh(ctx); err != nil {
-		d.logger.Debug("state not read anew", zap.Duration("age", age), zap.Error(err))
+		d.logger.Debug("refreshing job states failed", zap.Duration("age", age), zap.Error(err))
 		return false
 	}
 	return true
--- a/dispatcher/list.go
+++ b/dispatcher/list.go
@@ -84,7 +84,7 @@
 		defer close(done)
 		defer cancel()
 		if err := d.readList(ctx); err != nil {
-			d.logger.Warn("list of workers not read", zap.Error(err))
+			d.logger.Warn("reading the list of workers failed", zap.Error(err))
 		}
 		return nil
 	})
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -154,7 +154,7 @@
 		if err == nil {
 			return
 		}
-		d.logger.Warn("wave not reported", zap.Int("wave", a.Number), zap.Error(err))
+		d.logger.Warn("reporting a wave of upkeep failed", zap.Int("wave", a.Number), zap.Error(err))
 		wait(ctx, saveTimeout)
 	}
 }
--- a/job/job.go
+++ b/job/job.go
@@ -147,7 +147,7 @@
 		return fault.New(fault.Invalid, "spec has %d bytes, more than %d", len(j.Spec), MaxSpec)
 	}
 	if j.Times < 0 || j.Times > MaxTimes || j.Interval < 0 {
-		return fault.New(fault.Invalid, "%d occurrences every %d ms", j.Times, j.Interval)
+		return fault.New(fault.Invalid, "invalid schedule: %d occurrences every %d ms", j.Times, j.Interval)
 	}
 	total := 0
 	for i := range j.Steps {
@@ -200,13 +200,13 @@
 func ParseTask(name string) (Task, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
-		return Task{}, fault.New(fault.Invalid, "%q names no task", name)
+		return Task{}, fault.New(fault.Invalid, "%q is no task name: %d parts instead of 4", name, len(parts))
 	}
 	var numbers [3]int
 	for i, p := range parts[1:] {
 		n, err := strconv.Atoi(p)
 		if err != nil || n < 0 {
-			return Task{}, fault.New(fault.Invalid, "%q names no task: %q", name, p)
+			return Task{}, fault.New(fault.Invalid, "%q is no task name: invalid number %q", name, p)
 		}
 		numbers[i] = n
 	}
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -121,7 +121,7 @@
 	t.events = append(t.events, e)
 }
 
-var errNoTimestamp = errors.New("a line without a time")
+var errNoTimestamp = errors.New("line without a timestamp")
 
 // parse returns the event of a line. It skips the text before the timestamp.
 func parse(line string) (Event, error) {
