--- a/relay/agent/agent.go
+++ b/relay/agent/agent.go
@@ -74,7 +74,7 @@
 	}
 	socket, err := websocket.Accept(w, r, nil)
 	if err != nil {
-		a.logger.Warn("relay not accepted", zap.String("from", r.RemoteAddr), zap.Error(err))
+		a.logger.Warn("relay connection not accepted", zap.String("from", r.RemoteAddr), zap.Error(err))
 		return
 	}
 	defer func() { _ = socket.CloseNow() }()
@@ -83,7 +83,7 @@
 	a.addSession(s)
 	defer a.removeSession(s)
 	err = s.run(r.Context())
-	a.logger.Debug("relay ended", zap.String("from", r.RemoteAddr), zap.Error(err))
+	a.logger.Debug("relay connection closed", zap.String("from", r.RemoteAddr), zap.Error(err))
 }
 
 func (a *Agent) addSession(s *session) {
--- a/relay/agent/session.go
+++ b/relay/agent/session.go
@@ -116,7 +116,7 @@
 	defer cancel()
 	_, data, err := s.socket.Read(timeoutCtx)
 	if err != nil {
-		return nil, fault.Wrap(fault.Broken, err, "read orders")
+		return nil, fault.Wrap(fault.Broken, err, "receive orders")
 	}
 	return data, nil
 }
@@ -140,13 +140,13 @@
 	host, known := s.hosts[o.Host]
 	switch {
 	case !known:
-		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "worker isn't known"}})
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "unknown worker number"}})
 		return
 	case late:
-		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.Late, Text: "late at the relay"}})
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.Late, Text: "order reached the relay too late"}})
 		return
 	case !s.beginOrder():
-		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "too many orders at the relay"}})
+		s.queueResult(queuedResult{Result: wire.Result{Number: o.Number, Outcome: wire.NotSent, Text: "too many orders in flight at the relay"}})
 		return
 	}
 	spec := s.specs[o.Spec]
@@ -209,7 +209,7 @@
 	case wire.Pace:
 		err = s.agent.executor.Pace(ctx, run)
 	default:
-		err = fault.New(fault.Unavailable, "order of kind %d isn't known", o.Kind)
+		err = fault.New(fault.Unavailable, "unknown kind of order %d", o.Kind)
 	}
 	out.Outcome = wire.OutcomeOf(err)
 	if err != nil {
--- a/relay/link.go
+++ b/relay/link.go
@@ -127,13 +127,13 @@
 	l.dialing = false
 	if err == nil && !wanted {
 		_ = socket.CloseNow()
-		err = fault.New(fault.Unavailable, "not wanted any more")
+		err = fault.New(fault.Unavailable, "connection is no longer wanted")
 	}
 	if err != nil {
 		l.backOff(l.failures + 1)
 		l.mu.Unlock()
 		l.executor.releaseWaiting()
-		l.executor.logger.Debug("relay not reached", zap.String("through", l.peer.ID), zap.Error(err))
+		l.executor.logger.Debug("relay connection failed", zap.String("through", l.peer.ID), zap.Error(err))
 		return
 	}
 	s := newSession(l.executor, socket)
@@ -168,7 +168,7 @@
 	l.mu.Unlock()
 	l.executor.counters.linksUp.Add(-1)
 	l.executor.linkChanged()
-	l.executor.logger.Info("relay lost", zap.String("through", l.peer.ID), zap.Error(err))
+	l.executor.logger.Info("relay connection lost", zap.String("through", l.peer.ID), zap.Error(err))
 	s.abandon()
 }
 
@@ -193,7 +193,7 @@
 	}
 }
 
-var errDown = errors.New("no connection")
+var errDown = errors.New("no connection to the relay")
 
 // do sends an order through the instance and returns its result. The answer to a hold is
 // returned decoded.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -270,7 +270,7 @@
 		}
 	}
 	if wasEnabled && !enabled {
-		e.closeAll("not wanted")
+		e.closeAll("relaying disabled")
 	}
 }
 
@@ -313,13 +313,13 @@
 			continue
 		}
 		if l != nil {
-			l.close(fault.New(fault.Unavailable, "it has moved"))
+			l.close(fault.New(fault.Unavailable, "instance has a new address"))
 		}
 		e.links[i.ID] = newLink(e, i)
 	}
 	for id, l := range e.links {
 		if !listed[id] {
-			l.close(fault.New(fault.Unavailable, "not listed"))
+			l.close(fault.New(fault.Unavailable, "instance removed from the list"))
 			delete(e.links, id)
 		}
 	}
--- a/relay/session.go
+++ b/relay/session.go
@@ -237,7 +237,7 @@
 	for {
 		_, data, err := s.socket.Read(ctx)
 		if err != nil {
-			return fault.Wrap(fault.Broken, err, "read results")
+			return fault.Wrap(fault.Broken, err, "receive results")
 		}
 		results, err := wire.Decode[wire.Results](data)
 		if err != nil {
@@ -285,7 +285,7 @@
 		c.done <- out
 	}
 	if r.Outcome == wire.Late {
-		return fault.New(fault.Broken, "its clock and ours don't go together any more, or one stood still")
+		return fault.New(fault.Broken, "orders reached the relay too late: clock change or frozen process")
 	}
 	return nil
 }
@@ -302,7 +302,7 @@
 		if !c.sent {
 			outcome = wire.NotSent
 		}
-		c.done <- reply{result: wire.Result{Outcome: outcome, Text: "the connection ended"}}
+		c.done <- reply{result: wire.Result{Outcome: outcome, Text: "connection to the relay closed"}}
 	}
 }
 
@@ -317,7 +317,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving && len(s.pending) == 0 {
-		s.tomb.Kill(fault.New(fault.Leaving, "it leaves"))
+		s.tomb.Kill(fault.New(fault.Leaving, "relay is leaving"))
 		return
 	}
 	if !s.pingedAt.IsZero() {
@@ -326,7 +326,7 @@
 			within = pongTimeout
 		}
 		if now.Sub(s.pingedAt) > within {
-			s.tomb.Kill(fault.New(fault.TimedOut, "silent"))
+			s.tomb.Kill(fault.New(fault.TimedOut, "relay doesn't answer pings"))
 		}
 		return
 	}
--- a/relay/wire/lists.go
+++ b/relay/wire/lists.go
@@ -104,7 +104,7 @@
 	held := provider.Held{Born: h.Born, Clock: h.Clock}
 	for _, k := range h.Kept {
 		if k.Index < 0 || k.Index >= len(previous) {
-			return held, fault.New(fault.Invalid, "run %d of %d", k.Index, len(previous))
+			return held, fault.New(fault.Invalid, "reference to run %d of %d in the previous list", k.Index, len(previous))
 		}
 		r := previous[k.Index]
 		r.Percent = k.Percent
--- a/tail/tail.go
+++ b/tail/tail.go
@@ -231,7 +231,7 @@
 	case <-f.done:
 		return f.err
 	case <-ctx.Done():
-		return fault.Wrap(fault.Unavailable, ctx.Err(), "read to the end of %s", t.stream)
+		return fault.Wrap(fault.Unavailable, ctx.Err(), "wait for a read of %s", t.stream)
 	}
 }
 
