--- a/conduit/permit.go
+++ b/conduit/permit.go
@@ -18,7 +18,7 @@
 
 // ErrUnsolicited is the error of a connection that received bytes while no
 // request was in flight on it.
-var ErrUnsolicited = errors.New("conduit: an answer without a request")
+var ErrUnsolicited = errors.New("conduit: bytes received without a request in flight")
 
 // Permit allows the bytes of one request to be written, to one connection, as
 // long as a lease is in force.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -189,7 +189,7 @@
 	switch {
 	case c.isExpired():
 		return outcome{
-			callResult: callResult{err: fault.New(fault.TimedOut, "no answer by the deadline")},
+			callResult: callResult{err: fault.New(fault.TimedOut, "no response by the deadline")},
 			final:      true,
 			result:     balancer.Lost,
 		}
@@ -225,7 +225,7 @@
 // after it was sent. It isn't counted against the worker.
 func (g *Gateway) callerGoneOutcome() outcome {
 	return outcome{
-		callResult: callResult{err: fault.New(fault.MayHaveRun, "the caller went away")},
+		callResult: callResult{err: fault.New(fault.MayHaveRun, "the caller disconnected")},
 		final:      true,
 	}
 }
@@ -238,8 +238,8 @@
 	if resp.Header.Get(HeaderRequest) != c.id {
 		permit.CloseConnection()
 		g.counters.dropped.Add(1)
-		g.logger.Warn("answer dropped", callFields(c, t)...)
-		return failedOutcome(fault.New(fault.Broken, "the answer was for another request"), balancer.Lost)
+		g.logger.Warn("response to another request dropped", callFields(c, t)...)
+		return failedOutcome(fault.New(fault.Broken, "the response belongs to another request"), balancer.Lost)
 	}
 	if t.isPeer {
 		g.recordPeerFree(c, t, resp.Header)
@@ -251,7 +251,7 @@
 	if !isFramed(resp) {
 		permit.CloseConnection()
 		g.counters.truncated.Add(1)
-		return failedOutcome(fault.New(fault.Truncated, "the answer has no marked end"), balancer.Lost)
+		return failedOutcome(fault.New(fault.Truncated, "the response has neither a length nor a chunked encoding"), balancer.Lost)
 	}
 	return g.relay(c, t, resp, w)
 }
@@ -260,10 +260,10 @@
 // must state explicitly that the request did not run.
 func (g *Gateway) refusedOutcome(t *target, resp *http.Response, err *fault.Error) outcome {
 	if err.Answer().Ran == fault.NotRun && t.isPeer && resp.Header.Get(HeaderRan) != ranNames[fault.NotRun] {
-		err = fault.Wrap(fault.MayHaveRun, err, "the peer doesn't know")
+		err = fault.Wrap(fault.MayHaveRun, err, "peer %s did not confirm that the request did not run", t.id)
 	}
 	if !t.isPeer && err.Kind == fault.NotFound {
-		err = fault.Wrap(fault.NoWorker, err, "the replica is gone")
+		err = fault.Wrap(fault.NoWorker, err, "worker %s no longer has the replica", t.id)
 	}
 	o := failedOutcome(err, balancer.Refused)
 	o.reportedByTarget = true
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -43,7 +43,7 @@
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request, name string, hops int) (*call, *fault.Error) {
 	table := g.table.Load()
 	if table == nil {
-		return nil, fault.New(fault.NoWorker, "no routes yet")
+		return nil, fault.New(fault.NoWorker, "no routing table published yet")
 	}
 	service, ok := table.Services[name]
 	if !ok {
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -102,10 +102,10 @@
 	}
 	resp, err := g.callHome(ctx, http.MethodPost, c.keyClaim.hash, c.id, h)
 	if err != nil {
-		return fault.Wrap(fault.Unavailable, err, "a home of the key can't be reached").After(time.Second)
+		return fault.Wrap(fault.Unavailable, err, "can't reach instance %s, which stores the idempotency key", h.id).After(time.Second)
 	}
 	if resp.Header.Get(HeaderRequest) != c.id {
-		return fault.New(fault.Unavailable, "a home of the key answered another request").After(time.Second)
+		return fault.New(fault.Unavailable, "instance %s responded to the claim of another request", h.id).After(time.Second)
 	}
 	if refused := readRefusal(resp); refused != nil {
 		return refused
@@ -177,9 +177,9 @@
 func claimFault(result claimResult) *fault.Error {
 	switch result {
 	case duplicate:
-		return fault.New(fault.Duplicate, "the %s was seen before", HeaderKey)
+		return fault.New(fault.Duplicate, "the %s was used before", HeaderKey)
 	case storeFull:
-		return fault.New(fault.Overloaded, "too many keys are remembered")
+		return fault.New(fault.Overloaded, "too many idempotency keys are stored")
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 	owner := r.Header.Get(HeaderRequest)
 	hash, err := strconv.ParseUint(pat.Param(r, "hash"), hashBase, 64)
 	if err != nil || owner == "" {
-		g.refuse(w, fault.New(fault.Invalid, "a claim needs a hash and %s", HeaderRequest))
+		g.refuse(w, fault.New(fault.Invalid, "invalid hash of an idempotency key, or %s is missing", HeaderRequest))
 		return 0, "", false
 	}
 	w.Header().Set(HeaderRequest, owner)
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -137,5 +137,5 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	return fault.Wrap(fault.Internal, err, "unexpected")
+	return fault.Wrap(fault.Internal, err, "unexpected error of the admission gate")
 }
--- a/gateway/rebalance.go
+++ b/gateway/rebalance.go
@@ -98,7 +98,7 @@
 	}
 	for address, keys := range batches {
 		if err := g.sendKeys(ctx, address, keys); err != nil {
-			g.logger.Warn("keys not passed on", zap.String("address", address), zap.Int("keys", len(keys)), zap.Error(err))
+			g.logger.Warn("idempotency keys not transferred", zap.String("address", address), zap.Int("keys", len(keys)), zap.Error(err))
 		}
 	}
 }
@@ -130,11 +130,11 @@
 	}
 	resp, err := g.conduitTo(address).Send(ctx, req, conduit.NewPermit(time.Time{}))
 	if err != nil {
-		return fault.Wrap(fault.Unavailable, err, "pass keys on")
+		return fault.Wrap(fault.Unavailable, err, "transfer keys to %s", address)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
-		return fault.New(fault.Unavailable, "pass keys on: status %d", resp.StatusCode)
+		return fault.New(fault.Unavailable, "transfer keys to %s: status %d", address, resp.StatusCode)
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 func (g *Gateway) handleKeyTransfer(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBatchBytes))
 	if err != nil {
-		g.refuse(w, fault.New(fault.TooLarge, "keys above %d bytes", maxBatchBytes))
+		g.refuse(w, fault.New(fault.TooLarge, "batch of keys above %d bytes", maxBatchBytes))
 		return
 	}
 	var keys []keyTransfer
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -66,14 +66,14 @@
 	}
 	if c.isExpired() {
 		return outcome{
-			callResult: callResult{err: fault.New(fault.TimedOut, "no whole answer by the deadline")},
+			callResult: callResult{err: fault.New(fault.TimedOut, "no complete response by the deadline")},
 			final:      true,
 			result:     balancer.Lost,
 		}
 	}
 	g.counters.truncated.Add(1)
-	g.logger.Warn("answer truncated", callFields(c, t)...)
-	return failedOutcome(fault.Wrap(fault.Truncated, err, "the answer ended early"), balancer.Lost)
+	g.logger.Warn("response truncated", callFields(c, t)...)
+	return failedOutcome(fault.Wrap(fault.Truncated, err, "the response ended early"), balancer.Lost)
 }
 
 // relayStream relays a long response piece by piece. A slow caller slows down
@@ -122,7 +122,7 @@
 		return outcome{callResult: aborted, relayed: true, latency: latency}
 	}
 	g.counters.truncated.Add(1)
-	g.logger.Warn("answer truncated", callFields(c, t)...)
+	g.logger.Warn("response truncated", callFields(c, t)...)
 	return outcome{callResult: aborted, relayed: true, result: balancer.Lost, latency: latency}
 }
 
