--- a/admission/gate.go
+++ b/admission/gate.go
@@ -196,7 +196,7 @@
 	case len(s.queue) >= s.Queue:
 		return g.refuse(now, s, "the queue is full")
 	case wait > g.config.maxStandingWait && s.isStanding(now, g.config.standingAfter):
-		return g.refuse(now, s, "the queue doesn't empty")
+		return g.refuse(now, s, "the queue has been non-empty for too long")
 	}
 	return nil
 }
--- a/client/list.go
+++ b/client/list.go
@@ -41,7 +41,7 @@
 	}
 	var instances []provider.Instance
 	if err := json.Unmarshal(resp.body, &instances); err != nil {
-		return nil, fault.Wrap(fault.Unavailable, err, "instance list")
+		return nil, fault.Wrap(fault.Unavailable, err, "decode instance list")
 	}
 	l.store(resp.etag, instances)
 	return slices.Clone(instances), nil
--- a/client/log.go
+++ b/client/log.go
@@ -24,7 +24,7 @@
 
 func (l *log) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	if !wire.ValidStream(stream) {
-		return 0, fault.New(fault.Invalid, "stream name %q", stream)
+		return 0, fault.New(fault.Invalid, "invalid stream name %q", stream)
 	}
 	body, err := wire.EncodeRecords(records)
 	if err != nil {
@@ -57,7 +57,7 @@
 
 func (l *log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (provider.Page, error) {
 	if !wire.ValidStream(stream) {
-		return provider.Page{}, fault.New(fault.Invalid, "stream name %q", stream)
+		return provider.Page{}, fault.New(fault.Invalid, "invalid stream name %q", stream)
 	}
 	wait = min(max(wait, 0), wire.MaxWait)
 	c := call{
@@ -84,10 +84,10 @@
 	}
 	page, err := wire.DecodePage(resp.body)
 	if err != nil {
-		return provider.Page{}, fault.Wrap(fault.Unavailable, err, "answer of the log service")
+		return provider.Page{}, fault.Wrap(fault.Unavailable, err, "decode response of the log service")
 	}
 	if resp.refusal != nil {
-		return page, fault.New(fault.Expired, "oldest offset kept is %d", page.Oldest)
+		return page, fault.New(fault.Expired, "the oldest retained offset is %d", page.Oldest)
 	}
 	return page, nil
 }
--- a/client/peer.go
+++ b/client/peer.go
@@ -91,7 +91,7 @@
 	var sent atomic.Bool
 	request, err := p.request(traceSent(attemptCtx, &sent), c)
 	if err != nil {
-		return response{}, fault.Wrap(fault.Invalid, err, "make request")
+		return response{}, fault.Wrap(fault.Invalid, err, "create request")
 	}
 	resp, err := p.exchange(request, c.maxResponseBytes)
 	if err == nil {
@@ -131,7 +131,7 @@
 		return response{}, err
 	}
 	if int64(len(body)) > limit {
-		return response{}, fault.New(fault.TooLarge, "answer above %d bytes", limit)
+		return response{}, fault.New(fault.TooLarge, "response above %d bytes", limit)
 	}
 	if refusal := wire.ParseRefusal(resp.Header, body); refusal != nil {
 		return response{body: body, refusal: refusal}, nil
@@ -148,11 +148,11 @@
 func (p *peer) callFault(ctx context.Context, cause error, c call, sent bool) error {
 	switch {
 	case sent && c.hasEffect:
-		return fault.Wrap(fault.MayHaveRun, cause, "no answer from %s to %s", p.address, c.path)
+		return fault.Wrap(fault.MayHaveRun, cause, "no response from %s to %s", p.address, c.path)
 	case sent:
-		return fault.Wrap(fault.Unavailable, cause, "no answer from %s to %s", p.address, c.path)
+		return fault.Wrap(fault.Unavailable, cause, "no response from %s to %s", p.address, c.path)
 	case ctx.Err() != nil:
-		return fault.Wrap(fault.DeadlinePassed, cause, "gave up before sending to %s", p.address)
+		return fault.Wrap(fault.DeadlinePassed, cause, "the call to %s ended before it was sent", p.address)
 	default:
 		return fault.Wrap(fault.Unavailable, cause, "can't reach %s", p.address)
 	}
