--- a/controller/command.go
+++ b/controller/command.go
@@ -58,10 +58,10 @@
 	}
 	for _, t := range tasks {
 		if t.ID == "" || strings.Contains(t.ID, "/") {
-			return fault.New(fault.Invalid, "task %q: the ID is empty or holds a slash, which is kept for declared jobs and replicas", t.ID)
+			return fault.New(fault.Invalid, "task %q: the ID is empty or contains a slash, which is reserved for declared jobs and replicas", t.ID)
 		}
 		if t.Need.IsZero() || t.Need.IsNegative() {
-			return fault.New(fault.Invalid, "task %q: need %v", t.ID, t.Need)
+			return fault.New(fault.Invalid, "task %q: invalid need %v", t.ID, t.Need)
 		}
 		if c.manifest == nil || !c.hasGroup(t.Group) {
 			return fault.New(fault.NotFound, "task %q: no group %q", t.ID, t.Group)
@@ -121,9 +121,9 @@
 	case len(refused) == 0:
 		return nil
 	case a.Outcome.Effect == zone.Void:
-		return fault.New(fault.Conflict, "no task was taken: %s", strings.Join(refused, ", "))
+		return fault.New(fault.Conflict, "no task was accepted: %s", strings.Join(refused, ", "))
 	}
-	return fault.New(fault.MayHaveRun, "not taken, unlike the others: %s", strings.Join(refused, ", "))
+	return fault.New(fault.MayHaveRun, "only a part of the tasks was accepted, refused were: %s", strings.Join(refused, ", "))
 }
 
 // expireCommands fails the commands that the log didn't accept in time. A
@@ -138,7 +138,7 @@
 		}
 		delete(c.commands, sequence)
 		if c.appender.Withdraw(sequence) {
-			c.emit(Answer{ID: cmd.id, Err: fault.New(fault.Unavailable, "the log service took no record in time")})
+			c.emit(Answer{ID: cmd.id, Err: fault.New(fault.Unavailable, "the log service accepted no record in time")})
 			continue
 		}
 		c.emit(Answer{ID: cmd.id, Err: fault.New(fault.MayHaveRun, "the log service didn't answer; repeating the same command is safe")})
--- a/controller/config.go
+++ b/controller/config.go
@@ -52,7 +52,7 @@
 		return
 	}
 	if c.config.decodedRevision != c.revisions.Current().Number {
-		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "revision %d in force is of a newer program", c.revisions.Current().Number)})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Conflict, "revision %d in force was published by a newer program and can't be decoded by this one", c.revisions.Current().Number)})
 		return
 	}
 	m, err := manifest.Parse("manifest", in.Manifest)
@@ -64,7 +64,7 @@
 		return
 	}
 	if !c.revisions.Known() && !in.Anew {
-		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "the configuration stream hasn't told yet what is in force")})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "the configuration in force isn't known until the configuration stream is read")})
 		return
 	}
 	if current := c.revisions.Current(); in.Base != current.Number {
@@ -77,7 +77,7 @@
 		return
 	}
 	if len(c.config.pending) >= maxPublications {
-		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "%d publications wait for the log service", len(c.config.pending))})
+		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "too many publications: %d are waiting for the log service", len(c.config.pending))})
 		return
 	}
 	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.Command)})
@@ -131,7 +131,7 @@
 		if !pub.isCommand {
 			continue
 		}
-		err := fault.New(fault.Unavailable, "the log service took no record in time")
+		err := fault.New(fault.Unavailable, "the log service accepted no record in time")
 		if pub.attempted {
 			err = fault.New(fault.MayHaveRun, "the log service didn't answer; see the manifest in force before applying again")
 		}
@@ -183,7 +183,7 @@
 	current := c.revisions.Current()
 	m, err := manifest.Decode(current.Manifest)
 	if err != nil {
-		c.logEvent(Warn, "manifest not understood", "revision", current.Number, "error", err.Error())
+		c.logEvent(Warn, "manifest could not be decoded", "revision", current.Number, "error", err.Error())
 		return
 	}
 	c.config.decodedRevision = current.Number
@@ -211,7 +211,7 @@
 	}
 	data, err := revision.Encode(r)
 	if err != nil {
-		c.logEvent(Warn, "configuration not stated again", "error", err.Error())
+		c.logEvent(Warn, "configuration could not be restated", "error", err.Error())
 		return
 	}
 	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.Command)})
@@ -236,7 +236,7 @@
 func (c *Controller) handleConfigOffer(in Offered) {
 	sum, err := strconv.ParseUint(in.Config.Digest, 16, 64)
 	if err != nil {
-		c.logEvent(Warn, "configuration refused", "from", in.From, "error", err.Error())
+		c.logEvent(Warn, "configuration offer with an invalid digest", "from", in.From, "error", err.Error())
 		return
 	}
 	if c.revisions.Adopt(in.Config.Revision, sum, in.Config.Manifest) {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -33,7 +33,7 @@
 			}
 			if a := w.tasks[t.ID]; a != nil && a.stage == running {
 				a.stage = stopping
-				c.logEvent(Info, "evict above share", "worker", w.id, "task", t.ID, "group", name)
+				c.logEvent(Info, "evicted above group limit", "worker", w.id, "task", t.ID, "group", name)
 				c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: t.ID, Checkpoint: true})
 			}
 		}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -33,7 +33,7 @@
 	case member.Rejected:
 		return
 	case member.Replaced:
-		c.logEvent(Warn, "replaced by a newer run", "incarnation", h.Incarnation)
+		c.logEvent(Warn, "replaced by a newer incarnation", "incarnation", h.Incarnation)
 		c.handleLeave(now)
 		return
 	}
--- a/controller/service.go
+++ b/controller/service.go
@@ -50,7 +50,7 @@
 	c.planInputs = key
 	c.routesDirty = true
 	for name, n := range c.plan.Missing() {
-		c.logEvent(Warn, "no room for replicas", "service", name, "missing", n)
+		c.logEvent(Warn, "no capacity for replicas", "service", name, "missing", n)
 	}
 }
 
@@ -199,7 +199,7 @@
 		}
 		a.stage = stopping
 		free = free.Add(a.need)
-		c.logEvent(Info, "evict for replica", "worker", w.id, "task", a.id)
+		c.logEvent(Info, "evicted for replica", "worker", w.id, "task", a.id)
 		c.enqueueCall(w, Call{Verb: Stop, Epoch: w.epoch, Task: a.id, Checkpoint: true})
 	}
 }
--- a/controller/stream.go
+++ b/controller/stream.go
@@ -148,7 +148,7 @@
 func (c *Controller) appendRecord(r record.Record) (uint64, bool) {
 	sequence, err := c.appender.Add(r)
 	if err != nil {
-		c.logEvent(Warn, "record refused", "error", err.Error())
+		c.logEvent(Warn, "record not queued for append", "error", err.Error())
 		return 0, false
 	}
 	return sequence, true
--- a/mitigation/ladder.go
+++ b/mitigation/ladder.go
@@ -218,7 +218,7 @@
 	if !l.budget.take(now, l.budgetWindow, budgetLimit{"service " + worst.Class, 1}) {
 		return Action{}, false
 	}
-	return Action{Move, worst.Task, 0, "no batch task left to restrain"}, true
+	return Action{Move, worst.Task, 0, "no batch task left to throttle or evict"}, true
 }
 
 // isBatch reports whether a culprit is a batch task, which can be throttled.
