--- a/peer/accept.go
+++ b/peer/accept.go
@@ -89,7 +89,7 @@
 		return hello{}, err
 	}
 	if f.Hello == nil || !f.Hello.isValid() {
-		return hello{}, fault.New(fault.Invalid, "a link that doesn't begin with a hello")
+		return hello{}, fault.New(fault.Invalid, "first frame isn't a valid hello")
 	}
 	return *f.Hello, nil
 }
--- a/peer/beat.go
+++ b/peer/beat.go
@@ -106,11 +106,11 @@
 // read returns the heartbeat of a sender. Its map isn't shared.
 func (r *beatReader) read(from hello, b *beat) (Heartbeat, error) {
 	if len(r.names)+len(b.Names) > maxNames || len(r.last.Free)+len(b.Free) > maxFree+len(b.Gone) {
-		return Heartbeat{}, fault.New(fault.TooLarge, "heartbeat with too many services")
+		return Heartbeat{}, fault.New(fault.TooLarge, "heartbeat exceeds %d services or %d service names on one link", maxFree, maxNames)
 	}
 	for _, name := range b.Names {
 		if len(name) > maxName {
-			return Heartbeat{}, fault.New(fault.TooLarge, "service name of %d bytes", len(name))
+			return Heartbeat{}, fault.New(fault.TooLarge, "service name of %d bytes, limit %d", len(name), maxName)
 		}
 	}
 	r.names = append(r.names, b.Names...)
@@ -129,7 +129,7 @@
 	setIfPresent(&h.Revision, b.Revision)
 	setIfPresent(&h.Digest, b.Digest)
 	if len(h.Address) > maxName || len(h.Digest) > maxName {
-		return Heartbeat{}, fault.New(fault.TooLarge, "heartbeat with a long address or digest")
+		return Heartbeat{}, fault.New(fault.TooLarge, "heartbeat address of %d or digest of %d bytes, limit %d", len(h.Address), len(h.Digest), maxName)
 	}
 	r.last = h
 	return h, nil
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -75,7 +75,7 @@
 	case Reply:
 		return frame{Reply: &m}, nil
 	}
-	return frame{}, fault.New(fault.Invalid, "a %T can't be sent", m)
+	return frame{}, fault.New(fault.Invalid, "messages of type %T can't be sent", m)
 }
 
 var (
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,7 +12,7 @@
 var (
 	errUnlisted      = errors.New("no longer a peer")
 	errReplaced      = errors.New("replaced by a newer connection")
-	errSilent        = errors.New("silent")
+	errSilent        = errors.New("no frame or confirmation received in time")
 	errWrongInstance = errors.New("the address belongs to another instance")
 	errOtherKept     = errors.New("another connection is kept")
 )
--- a/zone/restore.go
+++ b/zone/restore.go
@@ -30,7 +30,7 @@
 		return nil, fault.Wrap(fault.Invalid, err, "decode snapshot")
 	}
 	if head.Format != snapshotFormat {
-		return nil, fault.New(fault.Invalid, "snapshot format %d, known %d", head.Format, snapshotFormat)
+		return nil, fault.New(fault.Invalid, "snapshot format %d, supported %d", head.Format, snapshotFormat)
 	}
 	var m snapshot
 	if err := snapshotDecoder.Unmarshal(data, &m); err != nil {
@@ -197,5 +197,5 @@
 }
 
 func inconsistent(what, id string) error {
-	return fault.New(fault.Invalid, "snapshot: %s %q doesn't fit the rest", what, id)
+	return fault.New(fault.Invalid, "snapshot: %s %q is inconsistent with the rest", what, id)
 }
