--- a/cmd/dogwoodladder/load.go
+++ b/cmd/dogwoodladder/load.go
@@ -124,7 +124,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return worker.Ledger{}, fault.Wrap(fault.Unavailable, err, "ask worker at %s", address)
+		return worker.Ledger{}, fault.Wrap(fault.Unavailable, err, "read the ledger of the worker at %s", address)
 	}
 	defer response.Body.Close()
 	var l worker.Ledger
--- a/cmd/dogwoodladder/operate.go
+++ b/cmd/dogwoodladder/operate.go
@@ -173,7 +173,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fault.Wrap(fault.Unavailable, err, "ask %s", t.Operator)
+		return fault.Wrap(fault.Unavailable, err, "request to the operator listener %s", t.Operator)
 	}
 	defer response.Body.Close()
 	_, err = io.Copy(os.Stdout, io.LimitReader(response.Body, maxAnswerBytes))
@@ -192,7 +192,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fault.Wrap(fault.Unavailable, err, "ask %s", t.Operator)
+		return fault.Wrap(fault.Unavailable, err, "request to the operator listener %s", t.Operator)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
@@ -217,7 +217,7 @@
 	}
 	text := f.Message + " (" + f.Ran
 	if after := response.Header.Get("Retry-After"); after != "" {
-		text += ", come back in " + after + " s"
+		text += ", retry after " + after + " s"
 	}
 	return fmt.Errorf("%s)", text)
 }
--- a/cmd/dogwoodladder/standin.go
+++ b/cmd/dogwoodladder/standin.go
@@ -133,7 +133,7 @@
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		return f, fault.Wrap(fault.Invalid, err, "faults %q", text)
+		return f, fault.Wrap(fault.Invalid, err, "decode faults %q", text)
 	}
 	return f, nil
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -130,7 +130,7 @@
 
 func (d *Daemon) send(a controller.Send) {
 	if err := d.mesh.Send(a.To, a.Message); err != nil {
-		d.logger.Debug("not sent", zap.String("to", a.To), zap.Error(err))
+		d.logger.Debug("message to peer not sent", zap.String("to", a.To), zap.Error(err))
 	}
 }
 
@@ -187,7 +187,7 @@
 	defer cancel()
 	report, err := d.workerClient(a.Address).Report(ctx)
 	if err != nil {
-		d.logger.Debug("no report", zap.String("worker", a.Worker), zap.Error(err))
+		d.logger.Debug("worker report failed", zap.String("worker", a.Worker), zap.Error(err))
 		return
 	}
 	d.enqueue(controller.Reported{Worker: a.Worker, Report: report})
@@ -217,7 +217,7 @@
 	case controller.Acknowledge:
 		return w.Acknowledge(ctx, a.Epoch, a.Tasks)
 	}
-	return fault.New(fault.Internal, "no call %v", a.Verb)
+	return fault.New(fault.Internal, "unknown worker call %v", a.Verb)
 }
 
 func taskOf(a controller.Call) string {
@@ -256,7 +256,7 @@
 		instances, err := d.list.Instances(ctx)
 		cancel()
 		if err != nil {
-			d.logger.Debug("instances not listed", zap.Error(err)) // the controller keeps the previous list
+			d.logger.Debug("reading the instance list failed", zap.Error(err)) // the controller keeps the previous list
 		} else {
 			d.enqueue(controller.Listed{Instances: instances})
 		}
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -99,7 +99,7 @@
 	}
 	base, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fault.New(fault.Invalid, "base %q is no revision", text)
+		return 0, fault.New(fault.Invalid, "base %q isn't a revision number", text)
 	}
 	return base, nil
 }
@@ -166,7 +166,7 @@
 	case a := <-answerCh:
 		return a, a.Err
 	case <-d.tomb.Dying():
-		return controller.Answer{}, fault.New(fault.MayHaveRun, "the instance stopped")
+		return controller.Answer{}, fault.New(fault.MayHaveRun, "the instance stopped before the command was answered")
 	}
 }
 
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -169,11 +169,11 @@
 	case len(c.entries) == 0:
 		return fault.New(fault.Invalid, "no entry instances")
 	case c.rate <= 0:
-		return fault.New(fault.Invalid, "rate %v", c.rate)
+		return fault.New(fault.Invalid, "rate %v isn't positive", c.rate)
 	case c.writeFraction < 0 || c.writeFraction > 1:
-		return fault.New(fault.Invalid, "part of writes %v", c.writeFraction)
+		return fault.New(fault.Invalid, "fraction of writes %v outside 0 to 1", c.writeFraction)
 	case min(c.bodySize, c.answerSize) < 0 || max(c.bodySize, c.answerSize) > answer.MaxSize:
-		return fault.New(fault.Invalid, "sizes %d and %d", c.bodySize, c.answerSize)
+		return fault.New(fault.Invalid, "request size %d or answer size %d outside 0 to %d", c.bodySize, c.answerSize, answer.MaxSize)
 	case c.maxTries < 1 || c.maxInFlight < 1 || c.reportInterval <= 0 || c.timeout <= 0 || c.work < 0:
 		return fault.New(fault.Invalid, "tries, requests in flight, interval, timeout or work out of range")
 	default:
--- a/standin/faults/handler.go
+++ b/standin/faults/handler.go
@@ -100,7 +100,7 @@
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		return f, fault.Wrap(fault.Invalid, err, "faults")
+		return f, fault.Wrap(fault.Invalid, err, "decode faults")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return f, fault.New(fault.Invalid, "faults: more than one value")
--- a/standin/faults/injector.go
+++ b/standin/faults/injector.go
@@ -137,7 +137,7 @@
 		}
 		i.set(f, connOf(r))
 	default:
-		wire.Refuse(w, fault.New(fault.Invalid, "method %s", r.Method))
+		wire.Refuse(w, fault.New(fault.Invalid, "method %s, want GET or PUT", r.Method))
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeJSON)
--- a/standin/instancelist/handler.go
+++ b/standin/instancelist/handler.go
@@ -34,7 +34,7 @@
 func (l *List) serveInstances(w http.ResponseWriter, r *http.Request) {
 	body, err := json.Marshal(l.Instances())
 	if err != nil {
-		wire.Refuse(w, fault.Wrap(fault.Internal, err, "encode"))
+		wire.Refuse(w, fault.Wrap(fault.Internal, err, "encode instance list"))
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeJSON)
@@ -73,7 +73,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&instance); err != nil {
-		return provider.Instance{}, fault.Wrap(fault.Invalid, err, "instance")
+		return provider.Instance{}, fault.Wrap(fault.Invalid, err, "decode instance %q", id)
 	}
 	if instance.ID != id {
 		return provider.Instance{}, fault.New(fault.Invalid, "ID %q in the path, %q in the body", id, instance.ID)
@@ -84,7 +84,7 @@
 func instanceID(r *http.Request) (string, error) {
 	rest, err := url.PathUnescape(pattern.Path(r.Context()))
 	if err != nil {
-		return "", fault.Wrap(fault.Invalid, err, "path")
+		return "", fault.Wrap(fault.Invalid, err, "unescape path %q", r.URL.Path)
 	}
 	id := strings.TrimPrefix(rest, "/")
 	if id == "" {
--- a/standin/instancelist/instancelist.go
+++ b/standin/instancelist/instancelist.go
@@ -113,7 +113,7 @@
 // Put adds or replaces an instance's entry.
 func (l *List) Put(instance provider.Instance) error {
 	if instance.ID == "" || len(instance.ID) > maxID {
-		return fault.New(fault.Invalid, "instance ID %q", instance.ID)
+		return fault.New(fault.Invalid, "instance ID %q, want 1 to %d bytes", instance.ID, maxID)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/logservice/handler.go
+++ b/standin/logservice/handler.go
@@ -123,15 +123,15 @@
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
-		return readRequest{}, fault.Wrap(fault.Invalid, err, "from")
+		return readRequest{}, fault.Wrap(fault.Invalid, err, "parse offset from=%q", query.Get("from"))
 	}
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 {
-		return readRequest{}, fault.New(fault.Invalid, "limit %q", query.Get("limit"))
+		return readRequest{}, fault.New(fault.Invalid, "limit %q isn't a positive integer", query.Get("limit"))
 	}
 	wait, err := time.ParseDuration(query.Get("wait"))
 	if err != nil || wait < 0 || wait > wire.MaxWait {
-		return readRequest{}, fault.New(fault.Invalid, "wait %q", query.Get("wait"))
+		return readRequest{}, fault.New(fault.Invalid, "wait %q, want a duration up to %v", query.Get("wait"), wire.MaxWait)
 	}
 	return readRequest{stream: name, from: from, limit: min(limit, maxPageEntries), wait: wait}, nil
 }
@@ -139,7 +139,7 @@
 func streamName(r *http.Request) (string, error) {
 	rest, err := url.PathUnescape(pattern.Path(r.Context()))
 	if err != nil {
-		return "", fault.Wrap(fault.Invalid, err, "path")
+		return "", fault.Wrap(fault.Invalid, err, "unescape path %q", r.URL.Path)
 	}
 	name, ok := strings.CutSuffix(strings.TrimPrefix(rest, "/"), wire.PathRecords)
 	if !ok || !wire.ValidStream(name) {
--- a/standin/worker/lease.go
+++ b/standin/worker/lease.go
@@ -23,7 +23,7 @@
 // force.
 func (w *Worker) Acquire(request provider.LeaseRequest) (provider.Lease, error) {
 	if request.Holder == "" || len(request.Holder) > maxID {
-		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q", request.Holder)
+		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q, want 1 to %d bytes", request.Holder, maxID)
 	}
 	now := w.now()
 	w.mu.Lock()
@@ -73,7 +73,7 @@
 // Transfer hands over the lease to another holder with a new epoch.
 func (w *Worker) Transfer(epoch uint64, to string) (provider.Lease, error) {
 	if to == "" || len(to) > maxID {
-		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q", to)
+		return provider.Lease{}, fault.New(fault.Invalid, "lease holder %q, want 1 to %d bytes", to, maxID)
 	}
 	now := w.now()
 	w.mu.Lock()
@@ -125,10 +125,10 @@
 
 func checkLeaseTimes(request provider.LeaseRequest) error {
 	if request.TTL <= 0 || request.TTL > MaxTTL {
-		return fault.New(fault.Invalid, "lease for %v, want up to %v", request.TTL, MaxTTL)
+		return fault.New(fault.Invalid, "lease TTL %v, want above 0 up to %v", request.TTL, MaxTTL)
 	}
 	if request.Tasks < 0 || request.Tasks > MaxTTL {
-		return fault.New(fault.Invalid, "task lease for %v, want up to %v", request.Tasks, MaxTTL)
+		return fault.New(fault.Invalid, "task lease TTL %v, want up to %v", request.Tasks, MaxTTL)
 	}
 	return nil
 }
--- a/standin/worker/program.go
+++ b/standin/worker/program.go
@@ -62,7 +62,7 @@
 
 func parseFailHere(words []string, declared time.Duration, id string) (program, error) {
 	if len(words) == 0 {
-		return program{}, fault.New(fault.Invalid, "fail-here without workers")
+		return program{}, fault.New(fault.Invalid, "command fail-here names no workers")
 	}
 	if slices.Contains(strings.Split(words[0], ","), id) {
 		return failingProgram("command failed on " + id), nil
@@ -77,7 +77,7 @@
 	}
 	work, err := time.ParseDuration(words[0])
 	if err != nil || work < 0 || work > maxWork || len(words) > 1 {
-		return 0, fault.New(fault.Invalid, "time of work %q", words)
+		return 0, fault.New(fault.Invalid, "work time %q, want one duration up to %v", words, maxWork)
 	}
 	return work, nil
 }
@@ -92,7 +92,7 @@
 	}
 	use, err := strconv.ParseFloat(value, 64)
 	if err != nil || use < 0 || use > 100 {
-		return 0, nil, fault.New(fault.Invalid, "use %q", value)
+		return 0, nil, fault.New(fault.Invalid, "usage factor %q outside 0 to 100", value)
 	}
 	return use, words[:len(words)-1], nil
 }
--- a/standin/worker/service.go
+++ b/standin/worker/service.go
@@ -188,7 +188,7 @@
 	escaped, _, _ := strings.Cut(rest, "/")
 	service, err := url.PathUnescape(escaped)
 	if err != nil || service == "" {
-		return "", fault.New(fault.Invalid, "path %q", r.URL.Path)
+		return "", fault.New(fault.Invalid, "no service name in path %q", r.URL.Path)
 	}
 	return service, nil
 }
@@ -202,7 +202,7 @@
 		return fault.New(fault.Invalid, "header %s %q", wire.HeaderDeadline, header)
 	}
 	if remainingMs <= 0 {
-		return fault.New(fault.DeadlinePassed, "no time left")
+		return fault.New(fault.DeadlinePassed, "deadline passed, %d ms left", remainingMs)
 	}
 	return nil
 }
--- a/standin/worker/shape.go
+++ b/standin/worker/shape.go
@@ -26,7 +26,7 @@
 func parseShape(query url.Values) (answerShape, error) {
 	s := answerShape{status: http.StatusOK, nonce: query.Get("nonce"), truncate: query.Get("truncate") == "true"}
 	if len(s.nonce) > maxID {
-		return s, fault.New(fault.Invalid, "nonce of %d bytes", len(s.nonce))
+		return s, fault.New(fault.Invalid, "nonce of %d bytes, want up to %d", len(s.nonce), maxID)
 	}
 	var err error
 	if s.work, err = parseTime(query.Get("work")); err != nil {
@@ -76,7 +76,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 200 || n > 599 {
-		return 0, fault.New(fault.Invalid, "status %q", text)
+		return 0, fault.New(fault.Invalid, "status %q outside 200 to 599", text)
 	}
 	return n, nil
 }
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -56,7 +56,7 @@
 // Throttle sets a task's speed in percent; zero halts the task.
 func (w *Worker) Throttle(epoch uint64, id string, percent int) error {
 	if percent < 0 || percent > fullSpeed {
-		return fault.New(fault.Invalid, "percent %d", percent)
+		return fault.New(fault.Invalid, "speed of %d percent outside 0 to %d", percent, fullSpeed)
 	}
 	now := w.now()
 	w.mu.Lock()
@@ -192,24 +192,24 @@
 	if held.spec.Attempt == spec.Attempt {
 		return nil
 	}
-	return fault.New(fault.Conflict, "task %q is held, attempt %d, %s", spec.ID, held.spec.Attempt, held.state)
+	return fault.New(fault.Conflict, "worker holds task %q already, attempt %d, %s", spec.ID, held.spec.Attempt, held.state)
 }
 
 func checkSpec(spec provider.TaskSpec) error {
 	switch {
 	case spec.ID == "" || len(spec.ID) > maxID:
-		return fault.New(fault.Invalid, "task ID %q", spec.ID)
+		return fault.New(fault.Invalid, "task ID %q, want 1 to %d bytes", spec.ID, maxID)
 	case spec.Kind != provider.KindBatch && spec.Kind != provider.KindService:
 		return fault.New(fault.Invalid, "task kind %q", spec.Kind)
 	case spec.Need.IsNegative():
-		return fault.New(fault.Invalid, "need %v", spec.Need)
+		return fault.New(fault.Invalid, "need %v is negative", spec.Need)
 	case spec.Duration < 0 || spec.Duration > maxWork:
 		return fault.New(fault.Invalid, "duration %v, want up to %v", spec.Duration, maxWork)
 	case spec.Slots < 0:
-		return fault.New(fault.Invalid, "slots %d", spec.Slots)
+		return fault.New(fault.Invalid, "slots %d are negative", spec.Slots)
 	}
 	if _, err := time.ParseDuration(spec.Checkpoint); spec.Checkpoint != "" && err != nil {
-		return fault.New(fault.Invalid, "checkpoint %q", spec.Checkpoint)
+		return fault.New(fault.Invalid, "checkpoint %q isn't a duration", spec.Checkpoint)
 	}
 	return nil
 }
