--- a/bench/batch/batch.go
+++ b/bench/batch/batch.go
@@ -130,15 +130,15 @@
 	const command = 5 * time.Second
 	t := setting.Default().Timing
 	return controller.Timing{
-		Heartbeat: t.Heartbeat,
-		Suspicion: t.Suspicion,
+		Heartbeat: t.HeartbeatInterval,
+		Suspicion: t.SuspicionTimeout,
 		Lease:     t.Lease,
-		Task:      t.Task,
-		Drift:     t.Drift,
-		Isolation: t.Isolation,
-		Append:    t.Append,
-		Snapshot:  t.Snapshot,
-		Fence:     2 * t.Suspicion,
+		Task:      t.TaskLease,
+		Drift:     t.MaxDrift,
+		Isolation: t.MaxIsolation,
+		Append:    t.AppendInterval,
+		Snapshot:  t.SnapshotInterval,
+		Fence:     2 * t.SuspicionTimeout,
 		Command:   command,
 	}
 }
--- a/cmd/dogwoodladder/entry.go
+++ b/cmd/dogwoodladder/entry.go
@@ -22,7 +22,7 @@
 // done.
 func (c *platformEntryCmd) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
-	logger, stop := logs.New(os.Stdout, zapcore.InfoLevel, logs.WithKept(platform.KeptLines()...))
+	logger, stop := logs.New(os.Stdout, zapcore.InfoLevel, logs.WithKeptMessages(platform.KeptLogMessages()...))
 	defer stop()
 	return platform.Run(ctx, logger)
 }
--- a/cmd/dogwoodladder/serve.go
+++ b/cmd/dogwoodladder/serve.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	d := daemon.New(*s, daemon.WithLogger(newLogger(s.Logs)))
+	d := daemon.New(*s, daemon.WithLogger(newLogger(s.LogLevel)))
 	expvar.Publish("dogwoodladder", d.Vars())
 	go dumpOnSignal(ctx, d)
 	return d.Run(ctx)
--- a/controller/config.go
+++ b/controller/config.go
@@ -57,7 +57,7 @@
 	}
 	m, err := manifest.Parse("manifest", in.Manifest)
 	if err == nil && c.manifest != nil {
-		err = m.Follow(c.manifest)
+		err = m.AssignZones(c.manifest)
 	}
 	if err != nil {
 		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Invalid, "%s", err)})
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -238,7 +238,7 @@
 		cancel()
 		d.counters.countRead(page, err)
 		d.enqueueAndWait(controller.Read{Stream: stream, Sent: sent, Page: page, Err: err})
-		d.sleep(d.settings.Timing.Tail)
+		d.sleep(d.settings.Timing.TailInterval)
 	}
 	return nil
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -99,13 +99,13 @@
 	for _, opt := range opts {
 		opt(d)
 	}
-	d.log = client.NewLog(s.Log.String())
-	d.list = client.NewList(s.List.String())
+	d.log = client.NewLog(s.LogAddress.String())
+	d.list = client.NewList(s.ListAddress.String())
 	d.self = controller.Self{
 		ID:               s.Instance,
 		AvailabilityZone: s.AvailabilityZone,
 		Incarnation:      uint64(time.Now().UnixMilli()),
-		Address:          s.Peer.String(),
+		Address:          s.PeerAddress.String(),
 	}
 	return d
 }
@@ -149,7 +149,7 @@
 
 func (d *Daemon) newMesh() *peer.Mesh {
 	const missed = 3 // heartbeats missed before a link counts as silent
-	beat := d.settings.Timing.Heartbeat
+	beat := d.settings.Timing.HeartbeatInterval
 	return peer.New(
 		peer.WithSelf(member.Self{
 			ID:               d.self.ID,
@@ -168,15 +168,15 @@
 
 func controllerTiming(t setting.Timing) controller.Timing {
 	return controller.Timing{
-		Heartbeat: t.Heartbeat,
-		Suspicion: t.Suspicion,
+		Heartbeat: t.HeartbeatInterval,
+		Suspicion: t.SuspicionTimeout,
 		Lease:     t.Lease,
-		Task:      t.Task,
-		Drift:     t.Drift,
-		Isolation: t.Isolation,
-		Append:    t.Append,
-		Snapshot:  t.Snapshot,
-		Fence:     2 * t.Suspicion,
+		Task:      t.TaskLease,
+		Drift:     t.MaxDrift,
+		Isolation: t.MaxIsolation,
+		Append:    t.AppendInterval,
+		Snapshot:  t.SnapshotInterval,
+		Fence:     2 * t.SuspicionTimeout,
 		Command:   commandTimeout,
 	}
 }
@@ -192,7 +192,7 @@
 	}
 	d.logger.Info("leaving")
 	d.enqueue(controller.Leave{})
-	drain, cancel := context.WithTimeout(context.Background(), d.settings.Timing.Drain)
+	drain, cancel := context.WithTimeout(context.Background(), d.settings.Timing.DrainTimeout)
 	defer cancel()
 	if err := d.gateway.Drain(drain); err != nil {
 		d.logger.Warn("drain cut short", zap.Error(err))
@@ -211,7 +211,7 @@
 // listen opens the caller, peer and operator listeners, all or none.
 func (d *Daemon) listen() ([]net.Listener, error) {
 	var listeners []net.Listener
-	for _, a := range []string{d.settings.Caller.String(), d.settings.Peer.String(), d.settings.Operator.String()} {
+	for _, a := range []string{d.settings.CallerAddress.String(), d.settings.PeerAddress.String(), d.settings.OperatorAddress.String()} {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
 			for _, open := range listeners {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -128,9 +128,9 @@
 	b.WriteString("instance: e\nzone: z\nlisten: {caller: '127.0.0.1:1', peer: '127.0.0.1:2', operator: '127.0.0.1:3'}\n")
 	b.WriteString("platform: {log: '127.0.0.1:4', list: '127.0.0.1:5'}\ntiming:\n")
 	fmt.Fprintf(&b, "  heartbeat: %v\n  suspicion: %v\n  lease: %v\n  task: %v\n  drift: %v\n",
-		timing.Heartbeat, timing.Suspicion, timing.Lease, timing.Task, timing.Drift)
+		timing.HeartbeatInterval, timing.SuspicionTimeout, timing.Lease, timing.TaskLease, timing.MaxDrift)
 	fmt.Fprintf(&b, "  isolation: %v\n  tail: %v\n  append: %v\n  snapshot: %v\n  drain: %v\n",
-		timing.Isolation, timing.Tail, timing.Append, timing.Snapshot, timing.Drain)
+		timing.MaxIsolation, timing.TailInterval, timing.AppendInterval, timing.SnapshotInterval, timing.DrainTimeout)
 	s, err := setting.Parse("demo.yaml", []byte(b.String()))
 	is.New(t).NoErr(err)
 	is.New(t).Equal(s.Timing, timing)
@@ -146,7 +146,7 @@
 			is := is.New(t)
 			m, err := manifest.Parse(name, readManifest(name))
 			is.NoErr(err)
-			is.NoErr(m.Follow(first))
+			is.NoErr(m.AssignZones(first))
 			for _, zone := range zones {
 				for _, b := range batches {
 					is.Equal(m.Limits(zone)[b.group], first.Limits(zone)[b.group])
--- a/demo/instance.go
+++ b/demo/instance.go
@@ -16,16 +16,16 @@
 // timing is shorter than a daemon's default timing, so that each failure is
 // detected and repaired within seconds.
 var timing = setting.Timing{
-	Heartbeat: 100 * time.Millisecond,
-	Suspicion: 600 * time.Millisecond,
-	Lease:     1500 * time.Millisecond,
-	Task:      4 * time.Second,
-	Drift:     50 * time.Millisecond,
-	Isolation: 10 * time.Second,
-	Tail:      50 * time.Millisecond,
-	Append:    50 * time.Millisecond,
-	Snapshot:  5 * time.Second,
-	Drain:     2 * time.Second,
+	HeartbeatInterval: 100 * time.Millisecond,
+	SuspicionTimeout:  600 * time.Millisecond,
+	Lease:             1500 * time.Millisecond,
+	TaskLease:         4 * time.Second,
+	MaxDrift:          50 * time.Millisecond,
+	MaxIsolation:      10 * time.Second,
+	TailInterval:      50 * time.Millisecond,
+	AppendInterval:    50 * time.Millisecond,
+	SnapshotInterval:  5 * time.Second,
+	DrainTimeout:      2 * time.Second,
 }
 
 // instance is an entry instance that runs in this process.
@@ -70,11 +70,11 @@
 	settings := setting.Default()
 	settings.Instance = id
 	settings.AvailabilityZone = zone
-	settings.Caller = freePort
-	settings.Peer = freePort
-	settings.Operator = freePort
-	settings.Log = s.logAddr
-	settings.List = s.listAddr
+	settings.CallerAddress = freePort
+	settings.PeerAddress = freePort
+	settings.OperatorAddress = freePort
+	settings.LogAddress = s.logAddr
+	settings.ListAddress = s.listAddr
 	settings.Timing = timing
 	return settings
 }
--- a/document/node.go
+++ b/document/node.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Keep returns a function that stores its node in target and calls read.
-func Keep(target *Node, read func(Node)) func(Node) {
+// StoreNode returns a function that stores its node in target and calls read.
+func StoreNode(target *Node, read func(Node)) func(Node) {
 	return func(n Node) {
 		*target = n
 		read(n)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Sound reports whether no problem has been found in the file so far.
-func (n Node) Sound() bool {
+// Valid reports whether no problem has been found in the file so far.
+func (n Node) Valid() bool {
 	return n.reader == nil || len(n.reader.problems) == 0
 }
 
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -3,7 +3,7 @@
 //
 // Usage:
 //
-//	logger, stop := logs.New(os.Stdout, zapcore.InfoLevel, logs.WithKept("owner", "load"))
+//	logger, stop := logs.New(os.Stdout, zapcore.InfoLevel, logs.WithKeptMessages("owner", "load"))
 //	defer stop()
 //	logger.Info("accept", zap.String("job", id))
 //
@@ -46,10 +46,10 @@
 	messageLimit int
 }
 
-// WithKept sets the messages whose lines are exempt from the limit per message and have
+// WithKeptMessages sets the messages whose lines are exempt from the limit per message and have
 // reserved buffer space. They must be rare; they are for lines that are needed most when
 // the process logs a lot.
-func WithKept(messages ...string) Option {
+func WithKeptMessages(messages ...string) Option {
 	return func(o *options) { o.kept = messages }
 }
 
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &sink{blocked: make(chan struct{})}
-		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithKept("load"), logs.WithMessageLimit(100_000))
+		logger, stop := logs.New(out, zapcore.InfoLevel, logs.WithKeptMessages("load"), logs.WithMessageLimit(100_000))
 		logger = logger.With(zap.String("instance", "e1"))
 		for second := range 5 {
 			for i := range 4000 {
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -11,12 +11,12 @@
 func (p *parser) check(root document.Node) {
 	p.checkNames()
 	p.checkShares()
-	if !root.Sound() {
+	if !root.Valid() {
 		return
 	}
 	p.checkPortions()
 	p.checkServices()
-	if root.Sound() {
+	if root.Valid() {
 		p.checkJobs(root)
 	}
 }
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -9,7 +9,7 @@
 //		fmt.Fprintln(os.Stderr, err) // one line for each problem: file:line:column: reason
 //		return err
 //	}
-//	if err := m.Follow(inForce); err != nil { // jobs keep their zones
+//	if err := m.AssignZones(inForce); err != nil { // jobs keep their zones
 //		return err
 //	}
 //	published, err := m.Encode()
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -108,16 +108,16 @@
 		if next.jobZones()[jobKey{"grading", "audit"}] == name {
 			moved++
 		}
-		is.NoErr(next.Follow(previous))
+		is.NoErr(next.AssignZones(previous))
 		is.Equal(next.jobZones(), previous.jobZones())
 	}
 	is.True(moved > 0) // the hash alone would have moved the job
 
 	next := site(t)
 	next.Jobs[1].AvailabilityZone = "mbagala"
-	is.Equal(next.Follow(previous).Error(),
+	is.Equal(next.AssignZones(previous).Error(),
 		`site.yaml:37:11: job "audit" is in zone "`+previous.jobZones()[next.Jobs[1].key()]+`" already; give it a new name to run it in zone "mbagala"`)
-	is.NoErr(site(t).Follow(nil)) // the first manifest has no predecessor
+	is.NoErr(site(t).AssignZones(nil)) // the first manifest has no predecessor
 }
 
 // FuzzParse checks that no input makes Parse panic, and that every accepted
--- a/manifest/parse.go
+++ b/manifest/parse.go
@@ -76,7 +76,7 @@
 
 func (p *parser) zones(n document.Node) {
 	n.List(MaxZones, p.zone)
-	if n.Sound() && len(p.manifest.AvailabilityZones) == 0 {
+	if n.Valid() && len(p.manifest.AvailabilityZones) == 0 {
 		n.Report("want at least one zone")
 	}
 }
@@ -85,7 +85,7 @@
 	var z AvailabilityZone
 	name := n
 	n.Map(
-		document.Required("name", document.Keep(&name, document.Into(&z.Name, document.Name))),
+		document.Required("name", document.StoreNode(&name, document.Into(&z.Name, document.Name))),
 		document.Optional("region", document.Into(&z.Region, document.Name)),
 		document.Required("capacity", amounts(&z.Capacity)),
 	)
@@ -100,8 +100,8 @@
 	at := groupNodes{share: n}
 	name := n
 	n.Map(
-		document.Required("name", document.Keep(&name, document.Into(&g.Name, document.Name))),
-		document.Required("share", document.Keep(&at.share, portion(&g.Share.Portion))),
+		document.Required("name", document.StoreNode(&name, document.Into(&g.Name, document.Name))),
+		document.Required("share", document.StoreNode(&at.share, portion(&g.Share.Portion))),
 		document.Optional("portions", func(n document.Node) {
 			g.Share.Zones = map[string]Portion{}
 			n.Entries(func(zone string, key, value document.Node) {
@@ -124,10 +124,10 @@
 	var at serviceNodes
 	name := n
 	n.Map(
-		document.Required("name", document.Keep(&name, document.Into(&s.Name, document.Name))),
-		document.Required("group", document.Keep(&at.group, document.Into(&s.Group, document.Name))),
+		document.Required("name", document.StoreNode(&name, document.Into(&s.Name, document.Name))),
+		document.Required("group", document.StoreNode(&at.group, document.Into(&s.Group, document.Name))),
 		document.Required("replicas", document.Into(&s.Replicas, document.Count(0, MaxReplicas))),
-		document.Required("need", document.Keep(&at.need, amounts(&s.Need))),
+		document.Required("need", document.StoreNode(&at.need, amounts(&s.Need))),
 		document.Optional("slots", document.Into(&s.Slots, document.Count(1, MaxSlots))),
 		document.Required("timeout", document.Into(&s.Timeout, document.Duration)),
 		document.Optional("idempotent", document.Into(&s.Idempotent, document.Bool)),
@@ -145,14 +145,14 @@
 	j := Job{Tasks: 1}
 	at := jobNodes{name: n}
 	n.Map(
-		document.Required("name", document.Keep(&at.name, document.Into(&j.Name, document.Name))),
-		document.Required("group", document.Keep(&at.group, document.Into(&j.Group, document.Name))),
-		document.Required("need", document.Keep(&at.need, amounts(&j.Need))),
+		document.Required("name", document.StoreNode(&at.name, document.Into(&j.Name, document.Name))),
+		document.Required("group", document.StoreNode(&at.group, document.Into(&j.Group, document.Name))),
+		document.Required("need", document.StoreNode(&at.need, amounts(&j.Need))),
 		document.Optional("tasks", document.Into(&j.Tasks, document.Count(1, MaxJobTasks))),
 		document.Optional("command", document.Into(&j.Command, document.Text)),
 		document.Optional("duration", document.Into(&j.Duration, document.Duration)),
 		document.Optional("urgent", document.Into(&j.Urgent, document.Bool)),
-		document.Optional("zone", document.Keep(&at.zone, document.Into(&j.AvailabilityZone, document.Name))),
+		document.Optional("zone", document.StoreNode(&at.zone, document.Into(&j.AvailabilityZone, document.Name))),
 	)
 	if _, found := p.manifest.places[j.key()]; found && j.Name != "" {
 		at.name.Report("duplicate job %q of group %q", j.Name, j.Group)
--- a/manifest/place.go
+++ b/manifest/place.go
@@ -61,16 +61,16 @@
 	return "job/" + j.Group + "/" + j.Name
 }
 
-// Follow sets the zone of every job. previous is the manifest that m replaces,
-// or nil if m is the first. A job that previous contains stays in its zone. The
-// error is of type Problems and lists the jobs that can't stay.
+// AssignZones sets the zone of every job. previous is the manifest that m
+// replaces, or nil if m is the first. A job that previous contains stays in its
+// zone. The error is of type Problems and lists the jobs that can't stay.
 //
 // Each zone has its own stream, which doesn't know the tasks of other zones. A
 // job that changed zones, because a zone was added or a share was changed, would
 // be queued in the new zone while it still runs in the old one, and would have
 // two results. So a job keeps its zone while it is declared, and needs a new name
 // to move.
-func (m *Manifest) Follow(previous *Manifest) error {
+func (m *Manifest) AssignZones(previous *Manifest) error {
 	var problems Problems
 	zones := previous.jobZones()
 	limits := m.allLimits()
--- a/setting/parse.go
+++ b/setting/parse.go
@@ -33,10 +33,10 @@
 		document.Required("zone", document.Into(&s.AvailabilityZone, document.Name)),
 		document.Required("listen", p.readListen),
 		document.Required("platform", p.readPlatform),
-		document.Optional("logs", document.Into(&s.Logs, parseLevel)),
+		document.Optional("logs", document.Into(&s.LogLevel, parseLevel)),
 		document.Optional("timing", p.readTimings),
 	)
-	if n.Sound() {
+	if n.Valid() {
 		p.checkRelations()
 	}
 }
@@ -44,9 +44,9 @@
 func (p *parser) readListen(n document.Node) {
 	s := p.settings
 	n.Map(
-		document.Required("caller", p.listener("caller", &s.Caller)),
-		document.Required("peer", p.listener("peer", &s.Peer)),
-		document.Required("operator", p.listener("operator", &s.Operator)),
+		document.Required("caller", p.listener("caller", &s.CallerAddress)),
+		document.Required("peer", p.listener("peer", &s.PeerAddress)),
+		document.Required("operator", p.listener("operator", &s.OperatorAddress)),
 	)
 }
 
@@ -66,8 +66,8 @@
 func (p *parser) readPlatform(n document.Node) {
 	s := p.settings
 	n.Map(
-		document.Required("log", document.Into(&s.Log, parseAddress)),
-		document.Required("list", document.Into(&s.List, parseAddress)),
+		document.Required("log", document.Into(&s.LogAddress, parseAddress)),
+		document.Required("list", document.Into(&s.ListAddress, parseAddress)),
 	)
 }
 
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -7,7 +7,7 @@
 //	if err != nil {
 //		return err // one line for each problem: file:line:column: reason
 //	}
-//	listener, err := net.Listen("tcp", s.Caller.String())
+//	listener, err := net.Listen("tcp", s.CallerAddress.String())
 //
 // A file needs to contain only the settings that differ from Default. Addresses must be
 // IP addresses; host names are rejected. Table describes every setting.
@@ -29,18 +29,18 @@
 	Instance         string
 	AvailabilityZone string
 
-	Caller   netip.AddrPort // listener for callers
-	Peer     netip.AddrPort // listener for other instances
-	Operator netip.AddrPort // listener for operators
+	CallerAddress   netip.AddrPort // listener for callers
+	PeerAddress     netip.AddrPort // listener for other instances
+	OperatorAddress netip.AddrPort // listener for operators
 
-	Log  netip.AddrPort // the platform's log service
-	List netip.AddrPort // the platform's instance list
+	LogAddress  netip.AddrPort // the platform's log service
+	ListAddress netip.AddrPort // the platform's instance list
 
-	Logs   zapcore.Level // minimum level that is logged
-	Timing Timing
+	LogLevel zapcore.Level // minimum level that is logged
+	Timing   Timing
 }
 
 // Default returns the default settings. The identity and the addresses have none.
 func Default() Settings {
-	return Settings{Logs: zapcore.InfoLevel, Timing: defaultTiming()}
+	return Settings{LogLevel: zapcore.InfoLevel, Timing: defaultTiming()}
 }
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -43,14 +43,14 @@
 	want := Default()
 	want.Instance = "kurasini-1"
 	want.AvailabilityZone = "kurasini"
-	want.Caller = netip.MustParseAddrPort("10.1.0.7:8080")
-	want.Peer = netip.MustParseAddrPort("10.1.0.7:8081")
-	want.Operator = netip.MustParseAddrPort("127.0.0.1:8082")
-	want.Log = netip.MustParseAddrPort("10.1.0.2:9000")
-	want.List = netip.MustParseAddrPort("[fd00::2]:9001")
-	want.Logs = zapcore.WarnLevel
-	want.Timing.Heartbeat = time.Second
-	want.Timing.Task = 2 * time.Minute
+	want.CallerAddress = netip.MustParseAddrPort("10.1.0.7:8080")
+	want.PeerAddress = netip.MustParseAddrPort("10.1.0.7:8081")
+	want.OperatorAddress = netip.MustParseAddrPort("127.0.0.1:8082")
+	want.LogAddress = netip.MustParseAddrPort("10.1.0.2:9000")
+	want.ListAddress = netip.MustParseAddrPort("[fd00::2]:9001")
+	want.LogLevel = zapcore.WarnLevel
+	want.Timing.HeartbeatInterval = time.Second
+	want.Timing.TaskLease = 2 * time.Minute
 	is.Equal(*s, want)
 }
 
--- a/setting/table.go
+++ b/setting/table.go
@@ -35,7 +35,7 @@
 
 func rows() []row {
 	list := slices.Clone(addressRows)
-	list = append(list, row{"logs", Default().Logs.String(), "least level that is logged: debug, info, warn or error"})
+	list = append(list, row{"logs", Default().LogLevel.String(), "least level that is logged: debug, info, warn or error"})
 	for _, t := range timings {
 		list = append(list, row{"timing." + t.key, t.defaultValue.String(), t.meaning})
 	}
