--- a/bench/batch/batch.go
+++ b/bench/batch/batch.go
@@ -130,16 +130,16 @@
 	const command = 5 * time.Second
 	t := setting.Default().Timing
 	return controller.Timing{
-		Heartbeat: t.HeartbeatInterval,
-		Suspicion: t.SuspicionTimeout,
-		Lease:     t.Lease,
-		Task:      t.TaskLease,
-		Drift:     t.MaxDrift,
-		Isolation: t.MaxIsolation,
-		Append:    t.AppendInterval,
-		Snapshot:  t.SnapshotInterval,
-		Fence:     2 * t.SuspicionTimeout,
-		Command:   command,
+		HeartbeatInterval: t.HeartbeatInterval,
+		SuspicionTimeout:  t.SuspicionTimeout,
+		WorkerLease:       t.Lease,
+		TaskLease:         t.TaskLease,
+		MaxDrift:          t.MaxDrift,
+		MaxIsolation:      t.MaxIsolation,
+		AppendInterval:    t.AppendInterval,
+		SnapshotInterval:  t.SnapshotInterval,
+		FenceAfter:        2 * t.SuspicionTimeout,
+		CommandTimeout:    command,
 	}
 }
 
--- a/bench/batch/driver.go
+++ b/bench/batch/driver.go
@@ -244,7 +244,7 @@
 		return
 	}
 	sent := n.now
-	from := n.c.Next(stream)
+	from := n.c.NextOffset(stream)
 	n.after(logDelay, func() {
 		if n.logDown || n.cutFromLog[n.id] {
 			n.after(appendTimeout, func() { n.handlePage(stream, sent, provider.Page{}, errLog) })
--- a/bench/batch/urgent.go
+++ b/bench/batch/urgent.go
@@ -46,10 +46,10 @@
 func (b *Bench) urgent(w io.Writer) error {
 	variants := []variant{
 		{"as it is", func(*plan) {}},
-		{"appends every 100 ms", func(p *plan) { p.timing.Append = 100 * time.Millisecond }},
-		{"appends every second", func(p *plan) { p.timing.Append = time.Second }},
-		{"heartbeats every half second", func(p *plan) { p.timing.Heartbeat = 500 * time.Millisecond }},
-		{"leases of 12 s", func(p *plan) { p.timing.Lease = 12 * time.Second }},
+		{"appends every 100 ms", func(p *plan) { p.timing.AppendInterval = 100 * time.Millisecond }},
+		{"appends every second", func(p *plan) { p.timing.AppendInterval = time.Second }},
+		{"heartbeats every half second", func(p *plan) { p.timing.HeartbeatInterval = 500 * time.Millisecond }},
+		{"leases of 12 s", func(p *plan) { p.timing.WorkerLease = 12 * time.Second }},
 		{"full zone, groups at their share", fullZone},
 		{"full zone, urgent tasks from groups below their share", func(p *plan) { fullZone(p); p.urgentGroups = urgentGroups }},
 		{"the same, and room only where a task ends", func(p *plan) { fullZone(p); p.urgentGroups = urgentGroups; fewTasksPerWorker(p) }},
--- a/bench/batch/wire.go
+++ b/bench/batch/wire.go
@@ -103,7 +103,7 @@
 
 func (c *calibration) worker(ctx context.Context, s *wireSizes) error {
 	w := client.NewWorker("worker", c.opts...)
-	request := provider.LeaseRequest{Holder: "e00", TTL: time.Minute, Tasks: time.Minute}
+	request := provider.LeaseRequest{Holder: "e00", TTL: time.Minute, TaskExtension: time.Minute}
 	var l provider.Lease
 	size, err := c.size(func() (err error) {
 		l, err = w.Acquire(ctx, request)
--- a/bench/mixed/fake.go
+++ b/bench/mixed/fake.go
@@ -342,7 +342,7 @@
 		p.latency, p.steps = 0, 0
 		s := &f.services[p.service]
 		r.Usage = append(r.Usage, provider.Usage{
-			Task: p.id, Measured: at, Interval: reportInterval, Used: f.serviceUse(p.service),
+			Task: p.id, MeasuredAt: at, Interval: reportInterval, Used: f.serviceUse(p.service),
 			Latency:  time.Duration(seconds * float64(time.Second)),
 			Requests: int(f.load(p.service) * s.rate * reportInterval.Seconds()),
 		})
@@ -352,7 +352,7 @@
 		noise := math.Exp(f.scenario.Noise * f.random.NormFloat64())
 		used.Processors = int64(float64(used.Processors) * noise * float64(t.percent) / 100)
 		r.Usage = append(r.Usage, provider.Usage{
-			Task: t.id, Group: f.batch[t.class].group, Measured: at, Interval: reportInterval, Used: used,
+			Task: t.id, Group: f.batch[t.class].group, MeasuredAt: at, Interval: reportInterval, Used: used,
 		})
 	}
 	lag := time.Duration(float64(f.scenario.Lag) * f.between(0.8, 1.2))
--- a/bench/mixed/interference_aware.go
+++ b/bench/mixed/interference_aware.go
@@ -51,7 +51,7 @@
 			Worker: m.name, Capacity: d.scenario.Size.Capacity, Free: free,
 			Services: len(m.replicas), Silent: !p.oracle && p.pairs.Silent(d.clock(), m.name),
 		}
-		c.Now, c.Slowdown = p.worstLevel(d, m, nil), p.worstLevel(d, m, &added)
+		c.CurrentSlowdown, c.Slowdown = p.worstLevel(d, m, nil), p.worstLevel(d, m, &added)
 		candidates = append(candidates, c)
 		index[m.name] = i
 	}
@@ -94,7 +94,7 @@
 	contention := max(1, float64(used.Processors)/float64(capacity.Processors))
 	var list []interference.Victim
 	for _, r := range m.replicas {
-		v := interference.Victim{Task: r.id, Class: d.services[r.service].name, Confidence: 1, From: d.clock()}
+		v := interference.Victim{Task: r.id, Class: d.services[r.service].name, Confidence: 1, ObservedSince: d.clock()}
 		v.Predicted = d.slowdown(r.service, tasks)
 		v.Level = v.Predicted * contention * contention
 		v.Observed = v.Level
@@ -169,8 +169,8 @@
 	}
 	for _, t := range m.tasks {
 		a := p.mitigationTask(d, t)
-		a.Share = float64(p.taskReservation(d, t).Processors) / capacity
-		in.Load += a.Share * float64(t.percent) / 100
+		a.ProcessorShare = float64(p.taskReservation(d, t).Processors) / capacity
+		in.Load += a.ProcessorShare * float64(t.percent) / 100
 		in.Tasks = append(in.Tasks, a)
 	}
 	for _, a := range p.ladder.Decide(d.clock(), in) {
@@ -184,7 +184,7 @@
 	ran := d.now - t.started + time.Duration(t.resumed*float64(time.Second))
 	return mitigation.Task{
 		ID: t.id, Job: b.job, Group: b.group, Percent: t.percent,
-		Lost: d.now - t.savedAt, Remaining: max(duration-ran, 0),
+		LostWork: d.now - t.savedAt, Remaining: max(duration-ran, 0),
 	}
 }
 
--- a/controller/colocation.go
+++ b/controller/colocation.go
@@ -192,13 +192,13 @@
 		}
 		left := c.colocation.sizes.Duration(tracked.class, t.Duration) - now.Sub(a.startedAt)
 		all = append(all, mitigation.Task{
-			ID:        a.id,
-			Job:       tracked.class,
-			Group:     t.Group,
-			Percent:   tracked.percent,
-			Share:     resource.Vector{Processors: c.colocation.sizes.Need(tracked.class, a.need).Processors}.Dominant(w.capacity),
-			Lost:      now.Sub(tracked.checkpointAt),
-			Remaining: max(left, 0),
+			ID:             a.id,
+			Job:            tracked.class,
+			Group:          t.Group,
+			Percent:        tracked.percent,
+			ProcessorShare: resource.Vector{Processors: c.colocation.sizes.Need(tracked.class, a.need).Processors}.Dominant(w.capacity),
+			LostWork:       now.Sub(tracked.checkpointAt),
+			Remaining:      max(left, 0),
 		})
 	}
 	return all
@@ -259,17 +259,17 @@
 func (c *Controller) placementCandidate(now time.Time, w *worker, free resource.Vector, add ...interference.Task) placement.Candidate {
 	e := c.colocation.estimator
 	candidate := placement.Candidate{
-		Worker:   w.id,
-		Rack:     w.rack,
-		Capacity: w.capacity,
-		Free:     free,
-		Services: len(w.replicas),
-		Slowdown: 1,
-		Now:      1,
-		Silent:   e.Silent(now, w.id),
+		Worker:          w.id,
+		Rack:            w.rack,
+		Capacity:        w.capacity,
+		Free:            free,
+		Services:        len(w.replicas),
+		Slowdown:        1,
+		CurrentSlowdown: 1,
+		Silent:          e.Silent(now, w.id),
 	}
 	if len(w.replicas) > 0 {
-		candidate.Now = e.Worst(now, w.id)
+		candidate.CurrentSlowdown = e.Worst(now, w.id)
 		candidate.Slowdown = e.Worst(now, w.id, add...)
 	}
 	return candidate
--- a/controller/command.go
+++ b/controller/command.go
@@ -46,7 +46,7 @@
 	if c.leaving {
 		return fault.New(fault.Leaving, "instance %s is shutting down", c.self.ID)
 	}
-	if !c.follower.Ready() || now.Sub(c.follower.Tail()) > c.timing.Command {
+	if !c.follower.Ready() || now.Sub(c.follower.Tail()) > c.timing.CommandTimeout {
 		return fault.New(fault.Unavailable, "the log service can't be reached")
 	}
 	return nil
@@ -82,7 +82,7 @@
 		c.emit(Answer{ID: id, Err: err})
 		return
 	}
-	c.commands[sequence] = &command{id: id, expiresAt: now.Add(c.timing.Command)}
+	c.commands[sequence] = &command{id: id, expiresAt: now.Add(c.timing.CommandTimeout)}
 	c.flushAppends(now)
 }
 
--- a/controller/config.go
+++ b/controller/config.go
@@ -80,7 +80,7 @@
 		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "%d publications wait for the log service", len(c.config.pending))})
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.Command)})
+	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.CommandTimeout)})
 	c.flushAppends(now)
 }
 
@@ -199,7 +199,7 @@
 	if c.config.lastRestatement.IsZero() {
 		c.config.lastRestatement = now
 	}
-	due := now.Sub(c.config.lastRestatement) >= c.timing.Snapshot || c.config.restateDue
+	due := now.Sub(c.config.lastRestatement) >= c.timing.SnapshotInterval || c.config.restateDue
 	if c.manifest == nil || !c.isProposer() || !due {
 		return
 	}
@@ -214,7 +214,7 @@
 		c.logEvent(Warn, "configuration not stated again", "error", err.Error())
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.Command)})
+	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.CommandTimeout)})
 }
 
 // handleConfigRequest sends the configuration in force here to an instance
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -50,16 +50,16 @@
 
 // Timing holds the durations that decisions depend on.
 type Timing struct {
-	Heartbeat time.Duration // interval between heartbeats
-	Suspicion time.Duration // silence after which a member is suspected
-	Lease     time.Duration // TTL of a worker's lease
-	Task      time.Duration // TTL of a batch task's lease
-	Drift     time.Duration // bound on the clock drift of a worker over one lease
-	Isolation time.Duration // how long after the last read of the log's tail task leases are extended
-	Append    time.Duration // interval between appends
-	Snapshot  time.Duration // interval between snapshots
-	Fence     time.Duration // how long an instance is out of service before it is fenced
-	Command   time.Duration // how long a command may wait for the log
+	HeartbeatInterval time.Duration // interval between heartbeats
+	SuspicionTimeout  time.Duration // silence after which a member is suspected
+	WorkerLease       time.Duration // TTL of a worker's lease
+	TaskLease         time.Duration // TTL of a batch task's lease
+	MaxDrift          time.Duration // bound on the clock drift of a worker over one lease
+	MaxIsolation      time.Duration // how long after the last read of the log's tail task leases are extended
+	AppendInterval    time.Duration // interval between appends
+	SnapshotInterval  time.Duration // interval between snapshots
+	FenceAfter        time.Duration // how long an instance is out of service before it is fenced
+	CommandTimeout    time.Duration // how long a command may wait for the log
 }
 
 // Controller is the control state of one instance. It isn't safe for
@@ -132,7 +132,7 @@
 	c.self.Incarnation = incarnation
 	c.members = c.newMembers()
 	c.leases = c.newLeaseTable()
-	c.appender = appender.New(c.writer(), appender.WithInterval(c.timing.Append))
+	c.appender = appender.New(c.writer(), appender.WithInterval(c.timing.AppendInterval))
 	c.workerByAttempt = make(map[record.Attempt]*worker)
 	for _, w := range c.workers {
 		w.tasks = make(map[string]*assignment)
@@ -230,7 +230,7 @@
 
 // isFresh reports whether the zone's state is recent enough to act on.
 func (c *Controller) isFresh(now time.Time) bool {
-	return c.follower.Ready() && now.Sub(c.follower.Tail()) <= c.timing.Isolation
+	return c.follower.Ready() && now.Sub(c.follower.Tail()) <= c.timing.MaxIsolation
 }
 
 // isProposer reports whether this instance writes the records that any
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -27,16 +27,16 @@
 )
 
 var testTiming = controller.Timing{
-	Heartbeat: time.Second,
-	Suspicion: 3 * time.Second,
-	Lease:     6 * time.Second,
-	Task:      20 * time.Second,
-	Drift:     time.Second,
-	Isolation: 30 * time.Second,
-	Append:    250 * time.Millisecond,
-	Snapshot:  20 * time.Second,
-	Fence:     6 * time.Second,
-	Command:   5 * time.Second,
+	HeartbeatInterval: time.Second,
+	SuspicionTimeout:  3 * time.Second,
+	WorkerLease:       6 * time.Second,
+	TaskLease:         20 * time.Second,
+	MaxDrift:          time.Second,
+	MaxIsolation:      30 * time.Second,
+	AppendInterval:    250 * time.Millisecond,
+	SnapshotInterval:  20 * time.Second,
+	FenceAfter:        6 * time.Second,
+	CommandTimeout:    5 * time.Second,
 }
 
 // harness connects the controllers of one zone to a fake log and to stand-in
@@ -178,7 +178,7 @@
 		oldest = h.oldest
 	}
 	in.Page = provider.Page{Oldest: oldest, Next: uint64(len(entries))}
-	from := inst.c.Next(stream)
+	from := inst.c.NextOffset(stream)
 	if from < oldest {
 		in.Page.Entries = entries[oldest:]
 	} else {
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -13,18 +13,18 @@
 func (c *Controller) newMembers() *member.Table {
 	return member.New(
 		member.Self{ID: c.self.ID, AvailabilityZone: c.self.AvailabilityZone, Incarnation: c.self.Incarnation},
-		member.WithHeartbeat(c.timing.Heartbeat),
-		member.WithSuspicion(c.timing.Suspicion),
+		member.WithHeartbeat(c.timing.HeartbeatInterval),
+		member.WithSuspicion(c.timing.SuspicionTimeout),
 	)
 }
 
 func (c *Controller) newLeaseTable() *lease.Table {
 	return lease.New(
 		lease.WithHolder(c.self.ID),
-		lease.WithTTL(c.timing.Lease),
-		lease.WithTaskTTL(c.timing.Task),
-		lease.WithMaxDrift(c.timing.Drift),
-		lease.WithIsolationBound(c.timing.Isolation),
+		lease.WithTTL(c.timing.WorkerLease),
+		lease.WithTaskTTL(c.timing.TaskLease),
+		lease.WithMaxDrift(c.timing.MaxDrift),
+		lease.WithIsolationBound(c.timing.MaxIsolation),
 	)
 }
 
--- a/controller/regression_test.go
+++ b/controller/regression_test.go
@@ -373,7 +373,7 @@
 	s.runUntil("sent", func() bool { return len(s.interceptedCalls) > 0 })
 	s.readsFail = true
 	s.appendsFail = true
-	s.run(testTiming.Isolation + testTiming.Task + testTiming.Lease + testTiming.Drift + 10*time.Second)
+	s.run(testTiming.MaxIsolation + testTiming.TaskLease + testTiming.WorkerLease + testTiming.MaxDrift + 10*time.Second)
 	sent := len(s.interceptedCalls)
 	s.run(10 * time.Second)
 	is.Equal(len(s.interceptedCalls), sent)
@@ -442,7 +442,7 @@
 // dropped all records before an offset.
 func (s *singleInstance) readFrom(oldest uint64) controller.Input {
 	stream := controller.ZoneStream("a")
-	from := max(s.c.Next(stream), oldest)
+	from := max(s.c.NextOffset(stream), oldest)
 	page := provider.Page{Oldest: oldest, Next: s.streamLength(), Entries: s.streams[stream][from:]}
 	return controller.Read{Stream: stream, Sent: s.now, Page: page}
 }
--- a/controller/service.go
+++ b/controller/service.go
@@ -220,7 +220,7 @@
 
 // syncReplicas updates the known replicas from the list of tasks that the
 // worker holds.
-func (c *Controller) syncReplicas(w *worker, tasks []provider.Running) {
+func (c *Controller) syncReplicas(w *worker, tasks []provider.TaskStatus) {
 	held := make(map[string]bool)
 	for _, t := range tasks {
 		name, ok := c.replicaService(w, t)
@@ -249,7 +249,7 @@
 	}
 }
 
-func (c *Controller) replicaService(w *worker, t provider.Running) (string, bool) {
+func (c *Controller) replicaService(w *worker, t provider.TaskStatus) (string, bool) {
 	if t.Kind != provider.KindService {
 		return "", false
 	}
--- a/controller/single_instance_test.go
+++ b/controller/single_instance_test.go
@@ -85,7 +85,7 @@
 		return in
 	}
 	entries := s.streams[stream]
-	in.Page = provider.Page{Next: uint64(len(entries)), Entries: entries[s.c.Next(stream):]}
+	in.Page = provider.Page{Next: uint64(len(entries)), Entries: entries[s.c.NextOffset(stream):]}
 	return in
 }
 
@@ -329,7 +329,7 @@
 	s.interceptCall = func(a controller.Call) (error, bool) {
 		return fault.New(fault.MayHaveRun, "no answer"), a.Verb == controller.Stop
 	}
-	s.run(testTiming.Task + testTiming.Lease)
+	s.run(testTiming.TaskLease + testTiming.WorkerLease)
 	is.True(len(s.interceptedCalls) > 0) // a stop was sent
 	is.True(!s.runsOn("w0"))
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -117,8 +117,8 @@
 	return c.revisions.Current().Manifest, c.revisions.Current().Number
 }
 
-// Missing returns the instances that aren't known to have a revision.
-func (c *Controller) Missing(revision uint64) []string {
+// InstancesWithout returns the instances that aren't known to have a revision.
+func (c *Controller) InstancesWithout(revision uint64) []string {
 	if c.revisions.Current().Number < revision {
 		return append(c.members.Missing(revision), c.self.ID)
 	}
--- a/controller/stream.go
+++ b/controller/stream.go
@@ -18,8 +18,8 @@
 	recoverAfter = 10 * time.Second // before lost state is recovered
 )
 
-// Next returns the offset from which to read a stream.
-func (c *Controller) Next(stream string) uint64 {
+// NextOffset returns the offset from which to read a stream.
+func (c *Controller) NextOffset(stream string) uint64 {
 	if stream == ConfigStream {
 		return c.revisions.Next()
 	}
@@ -240,7 +240,7 @@
 // an outage, such as a fence of an instance that is back, would be out of date
 // when appended.
 func (c *Controller) proposeRecords(now time.Time) {
-	if now.Sub(c.follower.Tail()) > c.timing.Suspicion {
+	if now.Sub(c.follower.Tail()) > c.timing.SuspicionTimeout {
 		clear(c.downSince)
 		return
 	}
@@ -268,7 +268,7 @@
 			c.downSince[writer] = now
 			continue
 		}
-		if !c.isProposer() || now.Sub(since) < c.timing.Fence || !c.allowProposal(now, "fence/"+writer.ID) {
+		if !c.isProposer() || now.Sub(since) < c.timing.FenceAfter || !c.allowProposal(now, "fence/"+writer.ID) {
 			continue
 		}
 		c.logEvent(Info, "fence", "instance", writer.ID, "incarnation", writer.Incarnation)
@@ -290,7 +290,7 @@
 // isolation bound after it last read the log, and the last extension ends
 // within taskEndBound, so after both the worker has stopped the tasks.
 func (c *Controller) proposeLapses(now time.Time) {
-	wait := c.timing.Isolation + c.taskEndBound()
+	wait := c.timing.MaxIsolation + c.taskEndBound()
 	for r := range c.State().Recoveries() {
 		seen, ok := c.fencedAt[r.Instance]
 		if !ok {
@@ -395,7 +395,7 @@
 	if c.lastSnapshot.IsZero() {
 		c.lastSnapshot = now
 	}
-	if now.Sub(c.lastSnapshot) < c.timing.Snapshot || c.follower.Next() == 0 {
+	if now.Sub(c.lastSnapshot) < c.timing.SnapshotInterval || c.follower.Next() == 0 {
 		return
 	}
 	c.lastSnapshot = now
--- a/controller/task.go
+++ b/controller/task.go
@@ -59,7 +59,7 @@
 
 // restoreOwnership appends the Own record if that was never done. If it was
 // appended and isn't in force, the lease is acquired again.
-func (c *Controller) restoreOwnership(now time.Time, w *worker, tasks []provider.Running) {
+func (c *Controller) restoreOwnership(now time.Time, w *worker, tasks []provider.TaskStatus) {
 	if w.phase == granted && !w.ownAppended {
 		c.appendOwn(w, tasks)
 		return
@@ -69,7 +69,7 @@
 
 // reconcileTasks updates the assignments from the list of tasks that the
 // worker holds, and returns the assignments that the worker doesn't hold.
-func (c *Controller) reconcileTasks(now time.Time, w *worker, tasks []provider.Running) []*assignment {
+func (c *Controller) reconcileTasks(now time.Time, w *worker, tasks []provider.TaskStatus) []*assignment {
 	held := make(map[string]bool, len(tasks))
 	for _, t := range tasks {
 		if t.Kind != provider.KindBatch {
@@ -108,7 +108,7 @@
 }
 
 // appendTaskEnd records how an attempt ended, once per attempt.
-func (c *Controller) appendTaskEnd(w *worker, t provider.Running) {
+func (c *Controller) appendTaskEnd(w *worker, t provider.TaskStatus) {
 	attempt := record.Attempt{Task: t.ID, Number: t.Attempt}
 	if t.State == provider.TaskRunning || !c.isCurrent(attempt) {
 		return
@@ -249,7 +249,7 @@
 	switch {
 	case in.Verb == Release:
 		w.phase = unowned
-		w.retryAt = now.Add(c.timing.Lease)
+		w.retryAt = now.Add(c.timing.WorkerLease)
 		c.leases.Drop(w.id)
 	case fault.Is(in.Err, fault.StaleEpoch):
 		c.handleLeaseFailure(now, w, in.Err)
--- a/controller/worker.go
+++ b/controller/worker.go
@@ -195,7 +195,7 @@
 	if !ok {
 		return
 	}
-	if request.Tasks > 0 {
+	if request.TaskExtension > 0 {
 		w.lastExtension = now
 	}
 	c.enqueueCallFirst(w, Call{Verb: Renew, Epoch: request.Epoch, Lease: request})
@@ -343,7 +343,7 @@
 
 func (c *Controller) handleAcquireFailed(now time.Time, w *worker, err error) {
 	w.phase = unowned
-	w.retryAt = now.Add(c.timing.Lease / 6)
+	w.retryAt = now.Add(c.timing.WorkerLease / 6)
 	c.logEvent(Debug, "not acquired", "worker", w.id, "error", err.Error())
 }
 
@@ -397,7 +397,7 @@
 }
 
 // appendOwn appends the Own record of a worker.
-func (c *Controller) appendOwn(w *worker, tasks []provider.Running) {
+func (c *Controller) appendOwn(w *worker, tasks []provider.TaskStatus) {
 	if !c.follower.Ready() {
 		return // retried at the next renewal
 	}
@@ -511,7 +511,7 @@
 // but only while the worker's own lease is in force, and each unanswered
 // renewal may prolong that lease once.
 func (c *Controller) taskEndBound() time.Duration {
-	return c.timing.Task + (maxUnansweredRenewals+1)*c.timing.Lease + c.timing.Drift
+	return c.timing.TaskLease + (maxUnansweredRenewals+1)*c.timing.WorkerLease + c.timing.MaxDrift
 }
 
 // needsNewEpoch reports whether a worker must get no more calls under its
@@ -527,7 +527,7 @@
 	if w.unansweredRenewals >= maxUnansweredRenewals {
 		return true
 	}
-	return w.phase == adopted && now.Sub(c.follower.Tail()) > c.timing.Isolation
+	return w.phase == adopted && now.Sub(c.follower.Tail()) > c.timing.MaxIsolation
 }
 
 // reacquire acquires the lease under a new epoch, which fences every call in
@@ -544,14 +544,14 @@
 	request := c.leases.AcquireRequest(w.id)
 	if s := c.State(); s != nil {
 		recorded, _ := s.Worker(w.id)
-		request.After = max(request.After, recorded.Epoch)
+		request.AboveEpoch = max(request.AboveEpoch, recorded.Epoch)
 	}
 	c.enqueueCall(w, Call{Verb: Acquire, Lease: request})
 }
 
 func (c *Controller) handleTransferred(now time.Time, w *worker, in Leased) {
 	w.phase = unowned
-	w.retryAt = now.Add(c.timing.Lease)
+	w.retryAt = now.Add(c.timing.WorkerLease)
 	c.leases.Drop(w.id)
 	if in.Err != nil {
 		c.logEvent(Warn, "handover failed", "worker", w.id, "error", in.Err.Error())
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -57,8 +57,8 @@
 	for _, a := range d.control.Step(time.Now(), in) {
 		d.performAction(a)
 	}
-	d.nextOffsets[0].Store(d.control.Next(controller.ZoneStream(d.self.AvailabilityZone)))
-	d.nextOffsets[1].Store(d.control.Next(controller.ConfigStream))
+	d.nextOffsets[0].Store(d.control.NextOffset(controller.ZoneStream(d.self.AvailabilityZone)))
+	d.nextOffsets[1].Store(d.control.NextOffset(controller.ConfigStream))
 }
 
 // enqueue passes an input to the control goroutine.
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -115,7 +115,7 @@
 	end := time.Now().Add(min(wait, maxWait))
 	for {
 		var missing []string
-		d.inspect(func(c *controller.Controller) { missing = c.Missing(revision) })
+		d.inspect(func(c *controller.Controller) { missing = c.InstancesWithout(revision) })
 		if len(missing) == 0 || !time.Now().Before(end) {
 			return missing
 		}
--- a/interference/estimator_test.go
+++ b/interference/estimator_test.go
@@ -46,7 +46,7 @@
 }
 
 func usage(task string, at time.Time, latency time.Duration) provider.Usage {
-	return provider.Usage{Task: task, Measured: at, Interval: interval, Latency: latency, Requests: 500}
+	return provider.Usage{Task: task, MeasuredAt: at, Interval: interval, Latency: latency, Requests: 500}
 }
 
 // placeReplica places one replica and the classes on a worker.
@@ -260,10 +260,10 @@
 		change func(u *provider.Usage)
 		want   interference.Outcome
 	}{
-		{"future", "w1", func(u *provider.Usage) { u.Measured = u.Measured.Add(time.Minute) }, interference.Future},
-		{"repeated", "w1", func(u *provider.Usage) { u.Measured = u.Measured.Add(-interval) }, interference.Repeated},
-		{"out of order", "w1", func(u *provider.Usage) { u.Measured = u.Measured.Add(-2 * interval) }, interference.OutOfOrder},
-		{"stale", "w1", func(u *provider.Usage) { u.Measured = u.Measured.Add(-time.Hour) }, interference.Stale},
+		{"future", "w1", func(u *provider.Usage) { u.MeasuredAt = u.MeasuredAt.Add(time.Minute) }, interference.Future},
+		{"repeated", "w1", func(u *provider.Usage) { u.MeasuredAt = u.MeasuredAt.Add(-interval) }, interference.Repeated},
+		{"out of order", "w1", func(u *provider.Usage) { u.MeasuredAt = u.MeasuredAt.Add(-2 * interval) }, interference.OutOfOrder},
+		{"stale", "w1", func(u *provider.Usage) { u.MeasuredAt = u.MeasuredAt.Add(-time.Hour) }, interference.Stale},
 		{"unknown task", "w1", func(u *provider.Usage) { u.Task = "nobody" }, interference.UnknownTask},
 		{"another worker's task", "w2", func(*provider.Usage) {}, interference.UnknownTask},
 		{"unknown worker", "w9", func(*provider.Usage) {}, interference.UnknownTask},
--- a/interference/fade_test.go
+++ b/interference/fade_test.go
@@ -20,7 +20,7 @@
 	report := func(n int, latency time.Duration, requests int) {
 		for range n {
 			now = now.Add(5 * time.Second)
-			e.Observe(now, "w1", provider.Usage{Task: "quote/w1", Measured: now, Interval: 5 * time.Second, Latency: latency, Requests: requests})
+			e.Observe(now, "w1", provider.Usage{Task: "quote/w1", MeasuredAt: now, Interval: 5 * time.Second, Latency: latency, Requests: requests})
 		}
 	}
 	report(60, 20*time.Millisecond, 50)
@@ -44,7 +44,7 @@
 			u.Requests = 1
 		}
 		now = now.Add(5 * time.Second)
-		u.Measured = now
+		u.MeasuredAt = now
 		e.Observe(now, "w1", u)
 	}
 	is.True(e.Worst(now, "w1") < 1.02)
--- a/interference/fuzz_test.go
+++ b/interference/fuzz_test.go
@@ -27,7 +27,7 @@
 		w.now = w.now.Add(interval)
 		before := w.slowdown("loud")
 		outcome := w.e.Observe(w.now, "w1", provider.Usage{
-			Task: task, Measured: w.now.Add(time.Duration(offset)), Interval: time.Duration(length),
+			Task: task, MeasuredAt: w.now.Add(time.Duration(offset)), Interval: time.Duration(length),
 			Latency: time.Duration(latency), Requests: requests, Used: resource.Vector{Processors: processors},
 		})
 		if after := w.slowdown("loud"); outcome != interference.Used && after != before {
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -14,13 +14,13 @@
 	// Level is the expected slowdown beside the current tasks: the sum of the pairs plus
 	// the residual of this task's reports. It doesn't depend on new reports, so it
 	// reflects the effect of an action at once.
-	Level      float64
-	Predicted  float64   // from the pairs alone
-	Confidence float64   // lowest confidence of the pairs, from 0 to 1
-	Observed   float64   // median latency of the newest reports, relative to the baseline
-	From       time.Time // start of the interval in which most of those reports were measured; zero before there are enough
-	Silent     bool      // the worker's reports stopped; Level includes a margin
-	Culprits   []Culprit
+	Level         float64
+	Predicted     float64   // from the pairs alone
+	Confidence    float64   // lowest confidence of the pairs, from 0 to 1
+	Observed      float64   // median latency of the newest reports, relative to the baseline
+	ObservedSince time.Time // start of the interval in which most of those reports were measured; zero before there are enough
+	Silent        bool      // the worker's reports stopped; Level includes a margin
+	Culprits      []Culprit
 }
 
 // Culprit is a running task's contribution to a victim's slowdown.
@@ -72,7 +72,7 @@
 func (e *Estimator) predictVictim(now time.Time, w *worker, r *taskRun, add []Task, silent bool) Victim {
 	v := e.victims[r.Class]
 	out := Victim{Task: r.ID, Class: r.Class, Confidence: 1, Silent: silent}
-	out.Observed, out.From, _ = r.observed()
+	out.Observed, out.ObservedSince, _ = r.observed()
 	out.Culprits = make([]Culprit, 0, len(w.spans)+len(add))
 	sum, variance := 0.0, 0.0
 	addCulprit := func(t Task, activity float64) {
--- a/interference/report.go
+++ b/interference/report.go
@@ -36,10 +36,10 @@
 	if u.Used.IsNegative() || u.Latency < 0 || u.Requests < 0 || u.Interval <= 0 {
 		return Negative
 	}
-	if u.Measured.Sub(now) > e.skew {
+	if u.MeasuredAt.Sub(now) > e.skew {
 		return Future
 	}
-	from := u.Measured.Add(-u.Interval)
+	from := u.MeasuredAt.Add(-u.Interval)
 	if from.Before(now.Add(-e.lagBound)) {
 		return Stale
 	}
@@ -47,19 +47,19 @@
 	if w == nil {
 		return UnknownTask
 	}
-	r := w.findRun(u.Task, from, u.Measured)
+	r := w.findRun(u.Task, from, u.MeasuredAt)
 	if r == nil {
 		return UnknownTask
 	}
-	if u.Measured.Equal(r.lastMeasured) {
+	if u.MeasuredAt.Equal(r.lastMeasured) {
 		return Repeated
 	}
-	if u.Measured.Before(r.lastMeasured) {
+	if u.MeasuredAt.Before(r.lastMeasured) {
 		return OutOfOrder
 	}
-	r.lastMeasured = u.Measured
-	if u.Measured.After(w.lastMeasured) {
-		w.lastMeasured = u.Measured
+	r.lastMeasured = u.MeasuredAt
+	if u.MeasuredAt.After(w.lastMeasured) {
+		w.lastMeasured = u.MeasuredAt
 	}
 	if r.Kind == provider.KindService && u.Latency > 0 && u.Requests >= minRequests {
 		e.learn(now, w, r, u)
@@ -79,10 +79,10 @@
 // coefficient by a bounded amount. Otherwise a single report could throttle all tasks of
 // a class.
 func (e *Estimator) learn(now time.Time, w *worker, r *taskRun, u provider.Usage) {
-	from := u.Measured.Add(-u.Interval)
+	from := u.MeasuredAt.Add(-u.Interval)
 	v := e.victim(now, r.Class)
 	e.addDrift(now, v)
-	beside := w.exposures(nil, r, from, u.Measured)
+	beside := w.exposures(nil, r, from, u.MeasuredAt)
 	latency := math.Log(u.Latency.Seconds())
 
 	var terms []term
--- a/lease/renewal.go
+++ b/lease/renewal.go
@@ -37,7 +37,7 @@
 	}
 	request := provider.LeaseRequest{Holder: t.holder, Epoch: e.epoch, TTL: t.ttl}
 	if t.MayExtendTasks(worker) {
-		request.Tasks = t.TaskExtension(now, lastTail)
+		request.TaskExtension = t.TaskExtension(now, lastTail)
 	}
 	return request, true
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -53,7 +53,7 @@
 func (t *Table) AcquireRequest(worker string) provider.LeaseRequest {
 	r := provider.LeaseRequest{Holder: t.holder, TTL: t.ttl}
 	if e, known := t.entries[worker]; known {
-		r.After = e.epoch
+		r.AboveEpoch = e.epoch
 	}
 	return r
 }
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -165,11 +165,11 @@
 	}
 	request, ok := table.RenewRequest(now, "w", start)
 	is.True(ok)
-	is.Equal(request, provider.LeaseRequest{Holder: "m", Epoch: 3, TTL: ttl, Tasks: 30 * time.Second})
+	is.Equal(request, provider.LeaseRequest{Holder: "m", Epoch: 3, TTL: ttl, TaskExtension: 30 * time.Second})
 	now = tickUntil(table, now, tick)
 	request, ok = table.RenewRequest(now, "w", start)
 	is.True(ok)
-	is.Equal(request.Tasks, time.Duration(0)) // only the worker's lease is renewed
+	is.Equal(request.TaskExtension, time.Duration(0)) // only the worker's lease is renewed
 
 	table.RecordGrant(now, "w", newLease(4))
 	is.Equal(table.MayExtendTasks("w"), false) // a new epoch needs its own record
--- a/mitigation/ladder.go
+++ b/mitigation/ladder.go
@@ -71,13 +71,13 @@
 
 // Task is a running batch task.
 type Task struct {
-	ID        string
-	Job       string
-	Group     string
-	Percent   int           // its speed, 100 when not throttled
-	Share     float64       // of the worker's processors, by its measured size at full speed
-	Lost      time.Duration // work since the last checkpoint
-	Remaining time.Duration // expected run time at full speed
+	ID             string
+	Job            string
+	Group          string
+	Percent        int           // its speed, 100 when not throttled
+	ProcessorShare float64       // of the worker's processors, by its measured size at full speed
+	LostWork       time.Duration // work since the last checkpoint
+	Remaining      time.Duration // expected run time at full speed
 }
 
 // Ladder decides on throttles, evictions and moves, escalating from one to the
@@ -153,7 +153,7 @@
 	allReported = true
 	for i := range victims {
 		v := &victims[i]
-		if !v.From.After(after) {
+		if !v.ObservedSince.After(after) {
 			allReported = false
 			continue
 		}
--- a/mitigation/ladder_test.go
+++ b/mitigation/ladder_test.go
@@ -15,13 +15,13 @@
 var start = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
 func newTask(id string, percent int, lost time.Duration) mitigation.Task {
-	return mitigation.Task{ID: id, Job: "j", Group: "g", Percent: percent, Lost: lost, Remaining: time.Hour}
+	return mitigation.Task{ID: id, Job: "j", Group: "g", Percent: percent, LostWork: lost, Remaining: time.Hour}
 }
 
 // newVictim returns a service at a level, with the harm of each culprit at
 // full speed.
 func newVictim(level float64, from time.Time, harms map[string]float64) interference.Victim {
-	v := interference.Victim{Task: "r", Class: "price", Level: level, Observed: level, From: from}
+	v := interference.Victim{Task: "r", Class: "price", Level: level, Observed: level, ObservedSince: from}
 	for _, id := range []string{"a", "b", "c"} {
 		if harm, ok := harms[id]; ok {
 			v.Culprits = append(v.Culprits, interference.Culprit{Task: id, Kind: provider.KindBatch, Harm: harm, Confidence: 1})
@@ -49,10 +49,10 @@
 	unconfirmed.Observed = 1
 	short := newTask("a", 25, 0)
 	short.Remaining = time.Minute
-	overcommitted := newWorker(newVictim(1, from, nil), mitigation.Task{ID: "a", Percent: 100, Share: 0.1}, mitigation.Task{ID: "b", Percent: 100, Share: 0.4})
+	overcommitted := newWorker(newVictim(1, from, nil), mitigation.Task{ID: "a", Percent: 100, ProcessorShare: 0.1}, mitigation.Task{ID: "b", Percent: 100, ProcessorShare: 0.4})
 	overcommitted.Load = 1.15
 	mild := map[string]float64{"a": 0.1, "b": 0.001}
-	crowded := newWorker(newVictim(1, from, mild), mitigation.Task{ID: "a", Percent: 25, Share: 0.3})
+	crowded := newWorker(newVictim(1, from, mild), mitigation.Task{ID: "a", Percent: 25, ProcessorShare: 0.3})
 	crowded.Load = 0.95
 	unreported := newWorker(newVictim(1, from, mild), newTask("a", 25, 0))
 	unreported.Victims = append(unreported.Victims, interference.Victim{Task: "new"})
--- a/mitigation/load.go
+++ b/mitigation/load.go
@@ -17,18 +17,18 @@
 	}
 	tasks := slices.Clone(in.Tasks)
 	slices.SortStableFunc(tasks, func(a, b Task) int {
-		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.ProcessorShare, a.ProcessorShare), cmp.Compare(a.ID, b.ID))
 	})
 	var actions []Action
 	for _, t := range tasks {
 		percent := t.Percent
-		for percent > l.floor && t.Share*float64(t.Percent-percent)/fullSpeed < excess {
+		for percent > l.floor && t.ProcessorShare*float64(t.Percent-percent)/fullSpeed < excess {
 			percent = max(percent/2, l.floor)
 		}
 		if excess <= 0 || percent == t.Percent {
 			continue
 		}
-		excess -= t.Share * float64(t.Percent-percent) / fullSpeed
+		excess -= t.ProcessorShare * float64(t.Percent-percent) / fullSpeed
 		actions = append(actions, Action{Throttle, t.ID, percent, "processors overcommitted"})
 	}
 	return actions
--- a/mitigation/release.go
+++ b/mitigation/release.go
@@ -36,7 +36,7 @@
 			percent = min(max(t.Percent, 1)*2, fullSpeed)
 		}
 		rise := harm * float64(percent-t.Percent) / fullSpeed
-		addedLoad := t.Share * float64(percent-t.Percent) / fullSpeed
+		addedLoad := t.ProcessorShare * float64(percent-t.Percent) / fullSpeed
 		if rise > headroom || addedLoad > spareLoad || held && harm >= minRelief {
 			break
 		}
--- a/mitigation/suspect.go
+++ b/mitigation/suspect.go
@@ -105,7 +105,7 @@
 func compareEvictions(a, b suspect) int {
 	return cmp.Or(
 		cmp.Compare(harmClass(b), harmClass(a)),
-		cmp.Compare(a.Lost, b.Lost),
+		cmp.Compare(a.LostWork, b.LostWork),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
@@ -123,7 +123,7 @@
 }
 
 func (l *Ladder) cost(s suspect) time.Duration {
-	return l.evictionCost + s.Lost
+	return l.evictionCost + s.LostWork
 }
 
 func (l *Ladder) takeEvictionBudget(now time.Time, t Task) bool {
--- a/placement/offer.go
+++ b/placement/offer.go
@@ -20,5 +20,5 @@
 	if c.Quarantined {
 		return false
 	}
-	return c.Services == 0 || !c.Silent && c.Now <= p.tailLimit
+	return c.Services == 0 || !c.Silent && c.CurrentSlowdown <= p.tailLimit
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -37,18 +37,18 @@
 // Candidate is the state of a worker. Slowdown and Confidence are predictions with the
 // task placed there; the other fields are without it.
 type Candidate struct {
-	Worker      string
-	Rack        string
-	Capacity    resource.Vector
-	Free        resource.Vector
-	Services    int     // replicas of any service on the worker
-	SameWorker  int     // replicas of the task's service on the worker
-	SameRack    int     // replicas of the task's service in the rack
-	Slowdown    float64 // predicted worst slowdown of a service on the worker, 1 for none
-	Now         float64 // current worst slowdown, without the task
-	Confidence  float64 // in Slowdown, from 0 to 1
-	Silent      bool    // the worker's reports stopped
-	Quarantined bool    // tasks fail to start on the worker
+	Worker          string
+	Rack            string
+	Capacity        resource.Vector
+	Free            resource.Vector
+	Services        int     // replicas of any service on the worker
+	SameWorker      int     // replicas of the task's service on the worker
+	SameRack        int     // replicas of the task's service in the rack
+	Slowdown        float64 // predicted worst slowdown of a service on the worker, 1 for none
+	CurrentSlowdown float64 // current worst slowdown, without the task
+	Confidence      float64 // in Slowdown, from 0 to 1
+	Silent          bool    // the worker's reports stopped
+	Quarantined     bool    // tasks fail to start on the worker
 }
 
 // Planner compares workers by their cost for a task.
@@ -111,13 +111,13 @@
 	if float64(rest.Processors) < p.headroom*float64(c.Capacity.Processors) {
 		return false
 	}
-	return c.Slowdown <= p.tailLimit || c.Slowdown <= c.Now*harmlessFactor
+	return c.Slowdown <= p.tailLimit || c.Slowdown <= c.CurrentSlowdown*harmlessFactor
 }
 
 // Cost returns the cost of placing a task on a worker; lower is better.
 func (p *Planner) Cost(t Task, c Candidate) float64 {
 	rest := c.Free.Sub(t.Need)
-	cost := p.tailWeight * max(c.Slowdown-max(c.Now, 1), 0)
+	cost := p.tailWeight * max(c.Slowdown-max(c.CurrentSlowdown, 1), 0)
 	cost += p.spreadWeight * (float64(c.SameRack) + sameWorkerFactor*float64(c.SameWorker))
 	cost += p.fitWeight * (strandedShare(rest, c.Capacity) + rest.Dominant(c.Capacity))
 	if c.Silent {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -19,7 +19,7 @@
 
 // worker returns a candidate without services and with a number of free cores.
 func worker(name string, free int64, change ...func(c *placement.Candidate)) placement.Candidate {
-	c := placement.Candidate{Worker: name, Rack: "a", Capacity: capacity, Free: cores(free), Slowdown: 1, Now: 1, Confidence: 1}
+	c := placement.Candidate{Worker: name, Rack: "a", Capacity: capacity, Free: cores(free), Slowdown: 1, CurrentSlowdown: 1, Confidence: 1}
 	for _, f := range change {
 		f(&c)
 	}
@@ -27,7 +27,7 @@
 }
 
 func serving(slowdown, now float64) func(c *placement.Candidate) {
-	return func(c *placement.Candidate) { c.Services, c.Slowdown, c.Now = 1, slowdown, now }
+	return func(c *placement.Candidate) { c.Services, c.Slowdown, c.CurrentSlowdown = 1, slowdown, now }
 }
 
 func silent(c *placement.Candidate)      { c.Silent = true }
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -80,17 +80,17 @@
 }
 
 // LeaseRequest requests a worker's lease, or its renewal when Epoch is the
-// current epoch. A worker's lease is exclusive and expires; each new grant has
-// a higher epoch. After a lease has expired, no epoch is in force, even when
-// the worker has no new holder. A started task is covered until the end of the
-// lease or until the time to which Tasks extended its own lease, whichever is
+// current epoch. A worker's lease is exclusive and expires; each new grant has a
+// higher epoch. After a lease has expired, no epoch is in force, even when the
+// worker has no new holder. A started task is covered until the end of the lease
+// or until the time to which TaskExtension extended its own lease, whichever is
 // later.
 type LeaseRequest struct {
-	Holder string        `json:"holder"`
-	Epoch  uint64        `json:"epoch,omitempty"` // zero to acquire, else the epoch to renew
-	After  uint64        `json:"after,omitempty"` // highest known epoch; an acquired epoch is above it, even if the worker has restarted since
-	TTL    time.Duration `json:"ttl"`             // duration of the lease
-	Tasks  time.Duration `json:"tasks,omitempty"` // extends the batch tasks' own leases by this time; zero leaves them unchanged
+	Holder        string        `json:"holder"`
+	Epoch         uint64        `json:"epoch,omitempty"` // zero to acquire, else the epoch to renew
+	AboveEpoch    uint64        `json:"after,omitempty"` // highest known epoch; an acquired epoch is above it, even if the worker has restarted since
+	TTL           time.Duration `json:"ttl"`             // duration of the lease
+	TaskExtension time.Duration `json:"tasks,omitempty"` // extends the batch tasks' own leases by this time; zero leaves them unchanged
 }
 
 // Lease is a worker's answer to a LeaseRequest.
@@ -99,7 +99,7 @@
 	TTL      time.Duration   `json:"ttl"`
 	Capacity resource.Vector `json:"capacity"`
 	Slots    int             `json:"slots"`
-	Tasks    []Running       `json:"tasks"` // tasks on the worker
+	Tasks    []TaskStatus    `json:"tasks"` // tasks on the worker
 }
 
 // TaskKind distinguishes batch tasks from replicas of services.
@@ -136,8 +136,9 @@
 	TaskStopped TaskState = "stopped"
 )
 
-// Running is a task on a worker, either running or ended with its result kept.
-type Running struct {
+// TaskStatus is a task on a worker, either running or ended with its result
+// kept.
+type TaskStatus struct {
 	ID         string          `json:"id"`
 	Kind       TaskKind        `json:"kind"`
 	Group      string          `json:"group"`
@@ -150,23 +151,23 @@
 }
 
 // Usage is the measured use of one task over an interval that ended at
-// Measured. It arrives later than that.
+// MeasuredAt. It arrives later than that.
 type Usage struct {
-	Task     string          `json:"task"`
-	Group    string          `json:"group"`
-	Measured time.Time       `json:"measured"`
-	Interval time.Duration   `json:"interval"`
-	Used     resource.Vector `json:"used"`
-	Latency  time.Duration   `json:"latency,omitempty"` // p99 of a service replica's response times
-	Requests int             `json:"requests,omitempty"`
+	Task       string          `json:"task"`
+	Group      string          `json:"group"`
+	MeasuredAt time.Time       `json:"measured"`
+	Interval   time.Duration   `json:"interval"`
+	Used       resource.Vector `json:"used"`
+	Latency    time.Duration   `json:"latency,omitempty"` // p99 of a service replica's response times
+	Requests   int             `json:"requests,omitempty"`
 }
 
 // Report is a worker's state and usage measurements.
 type Report struct {
-	Worker string    `json:"worker"`
-	Epoch  uint64    `json:"epoch"`
-	Tasks  []Running `json:"tasks"`
-	Usage  []Usage   `json:"usage,omitempty"`
+	Worker string       `json:"worker"`
+	Epoch  uint64       `json:"epoch"`
+	Tasks  []TaskStatus `json:"tasks"`
+	Usage  []Usage      `json:"usage,omitempty"`
 }
 
 // Worker is the control interface of one worker. Each call except Acquire
--- a/standin/worker/lease.go
+++ b/standin/worker/lease.go
@@ -12,7 +12,7 @@
 	epoch      uint64
 	ttl        time.Duration
 	until      time.Time
-	tasksUntil time.Time // end of batch tasks' leases as extended by LeaseRequest.Tasks
+	tasksUntil time.Time // end of batch tasks' leases as extended by LeaseRequest.TaskExtension
 }
 
 func (l lease) inForce(now time.Time) bool {
@@ -37,7 +37,7 @@
 		return provider.Lease{}, err
 	}
 	w.lease.holder = request.Holder
-	w.lease.epoch = max(w.lease.epoch, request.After) + 1
+	w.lease.epoch = max(w.lease.epoch, request.AboveEpoch) + 1
 	w.extendLease(request, now)
 	return w.grantedLease(), nil
 }
@@ -104,10 +104,10 @@
 func (w *Worker) extendLease(request provider.LeaseRequest, now time.Time) {
 	w.lease.ttl = request.TTL
 	w.lease.until = now.Add(request.TTL)
-	if request.Tasks == 0 {
+	if request.TaskExtension == 0 {
 		return
 	}
-	w.lease.tasksUntil = later(w.lease.tasksUntil, now.Add(request.Tasks))
+	w.lease.tasksUntil = later(w.lease.tasksUntil, now.Add(request.TaskExtension))
 	for _, t := range w.tasks {
 		t.leaseUntil = later(t.leaseUntil, w.lease.tasksUntil)
 	}
@@ -127,8 +127,8 @@
 	if request.TTL <= 0 || request.TTL > MaxTTL {
 		return fault.New(fault.Invalid, "lease for %v, want up to %v", request.TTL, MaxTTL)
 	}
-	if request.Tasks < 0 || request.Tasks > MaxTTL {
-		return fault.New(fault.Invalid, "task lease for %v, want up to %v", request.Tasks, MaxTTL)
+	if request.TaskExtension < 0 || request.TaskExtension > MaxTTL {
+		return fault.New(fault.Invalid, "task lease for %v, want up to %v", request.TaskExtension, MaxTTL)
 	}
 	return nil
 }
--- a/standin/worker/task.go
+++ b/standin/worker/task.go
@@ -92,8 +92,8 @@
 	}
 }
 
-func (t *task) report() provider.Running {
-	return provider.Running{
+func (t *task) report() provider.TaskStatus {
+	return provider.TaskStatus{
 		ID:         t.spec.ID,
 		Kind:       t.spec.Kind,
 		Group:      t.spec.Group,
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -179,12 +179,12 @@
 	return nil
 }
 
-func (w *Worker) taskReports() []provider.Running {
-	held := make([]provider.Running, 0, len(w.tasks))
+func (w *Worker) taskReports() []provider.TaskStatus {
+	held := make([]provider.TaskStatus, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		held = append(held, t.report())
 	}
-	slices.SortFunc(held, func(a, b provider.Running) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(held, func(a, b provider.TaskStatus) int { return strings.Compare(a.ID, b.ID) })
 	return held
 }
 
--- a/standin/worker/usage.go
+++ b/standin/worker/usage.go
@@ -49,13 +49,13 @@
 			continue
 		}
 		s.usage = append(s.usage, provider.Usage{
-			Task:     t.spec.ID,
-			Group:    t.spec.Group,
-			Measured: at,
-			Interval: w.interval,
-			Used:     t.used(),
-			Latency:  t.traffic.p99(),
-			Requests: t.traffic.requests,
+			Task:       t.spec.ID,
+			Group:      t.spec.Group,
+			MeasuredAt: at,
+			Interval:   w.interval,
+			Used:       t.used(),
+			Latency:    t.traffic.p99(),
+			Requests:   t.traffic.requests,
 		})
 		t.traffic.requests = 0
 		t.traffic.latencies = t.traffic.latencies[:0]
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -16,11 +16,11 @@
 //
 // The lease can't be preempted: an Acquire of another holder is refused with
 // fault.Conflict until the lease ends. An Acquire of its holder gets a new epoch
-// at once. The lease of a batch task ends at the later of two times: the end that
-// the worker's lease had when the task was started, and the time that
-// LeaseRequest.Tasks extended it to; the task is stopped then. Service replicas
-// have no lease of their own, but answer only requests that carry the epoch in
-// force.
+// at once. The lease of a batch task ends at the later of two times: the end
+// that the worker's lease had when the task was started, and the time that
+// LeaseRequest.TaskExtension extended it to; the task is stopped then. Service
+// replicas have no lease of their own, but answer only requests that carry the
+// epoch in force.
 //
 // The task ID of a replica up to the first slash is the name of its service. A
 // batch task's command is one of
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -27,7 +27,7 @@
 
 func acquire(t *testing.T, w *worker.Worker, holder string, ttl, tasks time.Duration) provider.Lease {
 	t.Helper()
-	lease, err := w.Acquire(provider.LeaseRequest{Holder: holder, TTL: ttl, Tasks: tasks})
+	lease, err := w.Acquire(provider.LeaseRequest{Holder: holder, TTL: ttl, TaskExtension: tasks})
 	is.New(t).NoErr(err)
 	return lease
 }
@@ -191,9 +191,9 @@
 	c.advance(100 * time.Millisecond)
 	usage := w.Report().Usage
 	is.Equal(len(usage), 1)
-	is.Equal(usage[0].Measured, start.Add(time.Second))
+	is.Equal(usage[0].MeasuredAt, start.Add(time.Second))
 	is.Equal(usage[0].Used.Processors, int64(2000))
 	w.Set(worker.Faults{Lag: faults.Duration(time.Second)})
 	c.advance(time.Second)
-	is.Equal(w.Report().Usage[0].Measured, start.Add(time.Second)) // still the first
+	is.Equal(w.Report().Usage[0].MeasuredAt, start.Add(time.Second)) // still the first
 }
