--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -50,10 +50,10 @@
 func TestFullServiceDoesntBlockItsGroup(t *testing.T) {
 	is := is.New(t)
 	g := trained(map[string]route.Service{
-		"full": {Name: "full", Group: "a", Weight: 1, Queue: 100},
-		"free": {Name: "free", Group: "a", Weight: 1, Queue: 100},
+		"full": {Name: "full", Group: "a", Weight: 1, MaxQueue: 100},
+		"free": {Name: "free", Group: "a", Weight: 1, MaxQueue: 100},
 	}, 8)
-	g.Capacity("full", 2)
+	g.SetCapacity("full", 2)
 	_, waiting, _ := offer(g, start, 20, request("full", time.Hour))
 	is.Equal(len(waiting), 18)
 	admitted, _, _ := offer(g, start, 6, request("free", time.Hour))
@@ -66,8 +66,8 @@
 func TestServicesOfAGroupGoInOrder(t *testing.T) {
 	is := is.New(t)
 	g := trained(map[string]route.Service{
-		"a": {Name: "a", Group: "x", Weight: 1, Queue: 100},
-		"b": {Name: "b", Group: "x", Weight: 1, Queue: 100},
+		"a": {Name: "a", Group: "x", Weight: 1, MaxQueue: 100},
+		"b": {Name: "b", Group: "x", Weight: 1, MaxQueue: 100},
 	}, 1)
 	admitted, _, _ := offer(g, start, 1, request("a", time.Hour))
 	names := []string{"a", "b", "a", "b"}
@@ -102,9 +102,9 @@
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		services := map[string]route.Service{
-			"a": {Name: "a", Group: "x", Weight: 2, Queue: 3, GroupSlots: 4},
-			"b": {Name: "b", Group: "x", Weight: 2, Queue: 3, GroupSlots: 4},
-			"c": {Name: "c", Group: "y", Weight: 1, Queue: 3},
+			"a": {Name: "a", Group: "x", Weight: 2, MaxQueue: 3, GroupSlots: 4},
+			"b": {Name: "b", Group: "x", Weight: 2, MaxQueue: 3, GroupSlots: 4},
+			"c": {Name: "c", Group: "y", Weight: 1, MaxQueue: 3},
 		}
 		g := admission.New(admission.WithHeadroom(0))
 		slots := 6
@@ -118,7 +118,7 @@
 				slots = rapid.IntRange(0, 8).Draw(t, "slots")
 				g.Update(services, slots)
 			case 1:
-				g.Capacity(rapid.SampledFrom(names).Draw(t, "service"), rapid.IntRange(0, 4).Draw(t, "capacity"))
+				g.SetCapacity(rapid.SampledFrom(names).Draw(t, "service"), rapid.IntRange(0, 4).Draw(t, "capacity"))
 			case 2:
 				if ticket := m.draw(); ticket != nil {
 					m.forget(ticket)
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -20,9 +20,9 @@
 // accepts only short waits, so that an overload doesn't delay every response
 // until its deadline.
 //
-// Every method takes the current time as a parameter. A Gate holds one entry
-// for each service and group, and one ticket for each request that is waiting
-// (at most the sum of Service.Queue) or admitted (at most the slots). It isn't
+// Every method takes the current time as a parameter. A Gate holds one entry for
+// each service and group, and one ticket for each request that is waiting (at
+// most the sum of Service.MaxQueue) or admitted (at most the slots). It isn't
 // safe for concurrent use.
 package admission
 
@@ -134,10 +134,10 @@
 	}
 }
 
-// Capacity bounds the requests in flight of one service to the slots of its
+// SetCapacity bounds the requests in flight of one service to the slots of its
 // replicas. Until its first call, a service is bounded by the total number of
 // slots only.
-func (g *Gate) Capacity(name string, slots int) {
+func (g *Gate) SetCapacity(name string, slots int) {
 	s := g.services[name]
 	if s == nil || !s.capacityUnset && s.capacity == slots {
 		return
@@ -193,7 +193,7 @@
 		return g.refuse(now, s, "can't finish by the deadline")
 	case t.Request.Hops > 0:
 		return g.refuse(now, s, "no free slot for a forwarded request")
-	case len(s.queue) >= s.Queue:
+	case len(s.queue) >= s.MaxQueue:
 		return g.refuse(now, s, "the queue is full")
 	case wait > g.config.maxStandingWait && s.isStanding(now, g.config.standingAfter):
 		return g.refuse(now, s, "the queue doesn't empty")
@@ -263,7 +263,7 @@
 }
 
 // Admit admits waiting tickets while slots are free, and returns them. Call it
-// after Update, Capacity and Abandon; Release includes it.
+// after Update, SetCapacity and Abandon; Release includes it.
 func (g *Gate) Admit(now time.Time) []*Ticket {
 	var started []*Ticket
 	for {
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -19,7 +19,7 @@
 func table(weights map[string]float64) map[string]route.Service {
 	services := map[string]route.Service{}
 	for name, weight := range weights {
-		services[name] = route.Service{Name: name, Group: name, Weight: weight, Queue: 100}
+		services[name] = route.Service{Name: name, Group: name, Weight: weight, MaxQueue: 100}
 	}
 	return services
 }
@@ -107,7 +107,7 @@
 		{"nothing yet", 150 * time.Millisecond, func(*admission.Gate) {}, 0},
 		{"too late", 200 * time.Millisecond, func(*admission.Gate) {}, 8},
 		{"half of the slots", 0, func(g *admission.Gate) { g.Update(services, 2) }, 4},
-		{"half of the replicas", 0, func(g *admission.Gate) { g.Capacity("a", 2) }, 4},
+		{"half of the replicas", 0, func(g *admission.Gate) { g.SetCapacity("a", 2) }, 4},
 		{"no slots", 0, func(g *admission.Gate) { g.Update(services, 0) }, 8},
 		{"removed", 0, func(g *admission.Gate) { g.Update(nil, 4) }, 8},
 	}
@@ -210,10 +210,10 @@
 		waiting  int
 		kind     fault.Kind
 	}{
-		{"queue", route.Service{Queue: 5}, 0, 8, 5, fault.Overloaded},
-		{"group's slots", route.Service{Queue: 5, GroupSlots: 3}, 0, 3, 5, fault.OverShare},
+		{"queue", route.Service{MaxQueue: 5}, 0, 8, 5, fault.Overloaded},
+		{"group's slots", route.Service{MaxQueue: 5, GroupSlots: 3}, 0, 3, 5, fault.OverShare},
 		{"no queue", route.Service{}, 0, 8, 0, fault.Overloaded},
-		{"forwarded", route.Service{Queue: 5}, 1, 8, 0, fault.Overloaded},
+		{"forwarded", route.Service{MaxQueue: 5}, 1, 8, 0, fault.Overloaded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/admission/option.go
+++ b/admission/option.go
@@ -56,10 +56,10 @@
 	return func(c *config) { c.headroom = part }
 }
 
-// WithStanding sets the maximum wait that is accepted while a queue has been
-// non-empty for at least after: 20 ms after 100 ms by default. A wait of an
+// WithStandingQueue sets the maximum wait that is accepted while a queue has
+// been non-empty for at least after: 20 ms after 100 ms by default. A wait of an
 // hour disables the check.
-func WithStanding(wait, after time.Duration) Option {
+func WithStandingQueue(wait, after time.Duration) Option {
 	return func(c *config) { c.maxStandingWait, c.standingAfter = wait, after }
 }
 
--- a/admission/service.go
+++ b/admission/service.go
@@ -13,7 +13,7 @@
 	route.Service
 	group         *group
 	removed       bool
-	capacityUnset bool // Capacity was not called yet
+	capacityUnset bool // SetCapacity was not called yet
 	capacity      int
 	limit         *limit.Limit
 	inFlight      int
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -19,9 +19,9 @@
 	var all []route.Backend
 	for i := range n {
 		all = append(all, route.Backend{
-			Worker: fmt.Sprintf("w%d", i),
-			Slots:  slots,
-			Until:  start.Add(time.Hour),
+			Worker:     fmt.Sprintf("w%d", i),
+			Slots:      slots,
+			LeaseUntil: start.Add(time.Hour),
 		})
 	}
 	return all
@@ -191,7 +191,7 @@
 					continue
 				}
 				held[r.Worker]++
-				if r.Worker == worker || held[r.Worker] > r.Slots || !now.Before(r.Until) {
+				if r.Worker == worker || held[r.Worker] > r.Slots || !now.Before(r.LeaseUntil) {
 					t.Fatalf("picked %v with %d in flight", r, held[r.Worker])
 				}
 			}
--- a/balancer/option.go
+++ b/balancer/option.go
@@ -34,10 +34,10 @@
 	return func(b *Balancer) { b.choice = c }
 }
 
-// WithEjectedPart sets the maximum fraction of replicas that may be out of
+// WithMaxEjectedPart sets the maximum fraction of replicas that may be out of
 // rotation when a slow or failing replica is ejected, 0.5 by default, and when a
 // refusing one is, 0.9 by default. Both are rounded down to whole replicas.
-func WithEjectedPart(slowOrFailing, refusing float64) Option {
+func WithMaxEjectedPart(slowOrFailing, refusing float64) Option {
 	return func(b *Balancer) { b.maxEjectedPart, b.maxRefusedPart = slowOrFailing, refusing }
 }
 
--- a/balancer/replica.go
+++ b/balancer/replica.go
@@ -56,7 +56,7 @@
 // It is checked at each choice: if this instance was paused or partitioned, its
 // lease may have lapsed and another instance may be using the same slots.
 func (r *replica) isLeased(now time.Time) bool {
-	return now.Before(r.backend.Until)
+	return now.Before(r.backend.LeaseUntil)
 }
 
 // advance starts the probing of a replica whose hold has ended.
--- a/bench/quick/case.go
+++ b/bench/quick/case.go
@@ -125,16 +125,16 @@
 	gradient       = withLimit("gradient limit", limit.WithAlgorithm(limit.Gradient))
 	aimd           = withLimit("AIMD limit", limit.WithAlgorithm(limit.AIMD))
 	aimdStrict     = withLimit("AIMD limit, tolerance 1.25", limit.WithAlgorithm(limit.AIMD), limit.WithTolerance(1.25))
-	fifo           = withAdmission("FIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour))
-	lifo           = withAdmission("LIFO, no bound on standing", admission.WithStanding(time.Hour, time.Hour), admission.WithDiscipline(admission.LIFO))
-	standing50ms   = withAdmission("standing wait 50 ms", admission.WithStanding(50*time.Millisecond, 100*time.Millisecond))
+	fifo           = withAdmission("FIFO, no bound on standing", admission.WithStandingQueue(time.Hour, time.Hour))
+	lifo           = withAdmission("LIFO, no bound on standing", admission.WithStandingQueue(time.Hour, time.Hour), admission.WithDiscipline(admission.LIFO))
+	standing50ms   = withAdmission("standing wait 50 ms", admission.WithStandingQueue(50*time.Millisecond, 100*time.Millisecond))
 	noHeadroom     = withAdmission("no headroom", admission.WithHeadroom(0))
 	betterOfTwo    = withBalancer("better of two", balancer.WithChoice(balancer.TwoChoices))
 	keepSlow       = withBalancer("slow ones stay", balancer.WithSlowFactor(0))
-	halfEjected    = withBalancer("at most half ejected", balancer.WithEjectedPart(0.5, 0.5))
+	halfEjected    = withBalancer("at most half ejected", balancer.WithMaxEjectedPart(0.5, 0.5))
 	noForwarding   = variant{"no forwarding", newSystem(settings{noForwarding: true})}
 	heartbeatsOnly = variant{"free slots by heartbeat only", newSystem(settings{heartbeatsOnly: true})}
-	noPeerRetry    = variant{"full peers not asked again", newSystem(settings{forward: []forward.Option{forward.WithAgain(0)}})}
+	noPeerRetry    = variant{"full peers not asked again", newSystem(settings{forward: []forward.Option{forward.WithRetryInterval(0)}})}
 	hedging        = variant{"hedging", newSystem(settings{hedging: true})}
 )
 
--- a/bench/quick/instance.go
+++ b/bench/quick/instance.go
@@ -60,7 +60,7 @@
 }
 
 func (in *instance) handleHeartbeat(p route.Peer) {
-	p.Heard = in.fake.time()
+	p.LastContact = in.fake.time()
 	i := slices.IndexFunc(in.peers, func(o route.Peer) bool { return o.ID == p.ID })
 	if i < 0 {
 		in.peers = append(in.peers, p)
@@ -75,7 +75,7 @@
 		return
 	}
 	if r.peer != "" {
-		in.chooser.Lost(in.fake.time(), r.peer)
+		in.chooser.RecordUnreachable(in.fake.time(), r.peer)
 	}
 	in.fake.finish(r, failed)
 }
@@ -98,7 +98,7 @@
 // updatePeerFree records the free slots that a peer reported with an answer.
 func (in *instance) updatePeerFree(service, peer string, free int) {
 	if !in.system.settings.heartbeatsOnly {
-		in.chooser.Heard(in.fake.time(), service, peer, free)
+		in.chooser.RecordFree(in.fake.time(), service, peer, free)
 	}
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	in.fake.message(in.zone, from.zone, func() {
-		from.chooser.Refused(from.fake.time(), r.service, in.id)
+		from.chooser.RecordRefused(from.fake.time(), r.service, in.id)
 		r.peer = ""
 		if !r.ended {
 			from.admitOrForward(r, false)
@@ -218,7 +218,7 @@
 
 func (in *instance) canRetry(r *request, result balancer.Result) bool {
 	safe := result == balancer.Refused || result == balancer.Lost && r.idempotent
-	return safe && !r.ended && in.budget.Take(in.fake.time())
+	return safe && !r.ended && in.budget.TakeRetry(in.fake.time())
 }
 
 func endingOf(result balancer.Result) ending {
@@ -239,7 +239,7 @@
 		return
 	}
 	in.fake.after(hedgeDelay, func() {
-		if !first.closed && !r.ended && in.balancer.Free(in.fake.time()) > minFreeForHedge && in.budget.Take(in.fake.time()) {
+		if !first.closed && !r.ended && in.balancer.Free(in.fake.time()) > minFreeForHedge && in.budget.TakeRetry(in.fake.time()) {
 			in.hedge(r)
 		}
 	})
@@ -256,7 +256,7 @@
 func (in *instance) updateCapacity() {
 	slots := in.balancer.Slots(in.fake.time())
 	for name := range in.system.services {
-		in.gate.Capacity(name, slots)
+		in.gate.SetCapacity(name, slots)
 	}
 }
 
--- a/bench/quick/scenario.go
+++ b/bench/quick/scenario.go
@@ -64,11 +64,11 @@
 	services := map[string]route.Service{}
 	for _, p := range s.serviceLoads {
 		services[p.service] = route.Service{
-			Name:    p.service,
-			Group:   p.group,
-			Weight:  p.weight,
-			Timeout: s.deadline,
-			Queue:   1000,
+			Name:     p.service,
+			Group:    p.group,
+			Weight:   p.weight,
+			Timeout:  s.deadline,
+			MaxQueue: 1000,
 		}
 	}
 	return services
--- a/bench/quick/system.go
+++ b/bench/quick/system.go
@@ -103,9 +103,9 @@
 
 func (sys *system) backend(w int) route.Backend {
 	return route.Backend{
-		Worker: workerName(w),
-		Slots:  sys.fake.slots,
-		Until:  epoch.Add(time.Hour),
+		Worker:     workerName(w),
+		Slots:      sys.fake.slots,
+		LeaseUntil: epoch.Add(time.Hour),
 	}
 }
 
@@ -122,7 +122,7 @@
 			ID:               from.id,
 			AvailabilityZone: from.zone,
 			Free:             from.free(),
-			Heard:            sys.fake.time(),
+			LastContact:      sys.fake.time(),
 		}
 		for _, to := range sys.instances {
 			if to != from && (to.zone == from.zone) == sameZone {
@@ -135,7 +135,7 @@
 
 func (sys *system) handleRequest(r *request) {
 	in := sys.instances[r.instance]
-	in.budget.First(in.fake.time())
+	in.budget.RecordFirstAttempt(in.fake.time())
 	sys.fake.after(sys.deadline-callerDelay-(sys.fake.now-r.arrivedAt), func() { in.handleDeadline(r) })
 	in.admitOrForward(r, !sys.settings.noForwarding)
 }
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -4,8 +4,8 @@
 // Usage:
 //
 //	b := budget.New(budget.WithRatio(0.1))
-//	b.First(now) // for each first attempt
-//	if b.Take(now) {
+//	b.RecordFirstAttempt(now) // for each first attempt
+//	if b.TakeRetry(now) {
 //		// send one retry or hedge
 //	}
 //
@@ -69,18 +69,19 @@
 	return b
 }
 
-// First counts a first attempt. It must not be called for retries, hedges and
-// requests forwarded by a peer, whose first attempt is counted elsewhere.
-func (b *Budget) First(_ time.Time) {
+// RecordFirstAttempt counts a first attempt. It must not be called for retries,
+// hedges and requests forwarded by a peer, whose first attempt is counted
+// elsewhere.
+func (b *Budget) RecordFirstAttempt(_ time.Time) {
 	// The burst bounds the tokens. Otherwise retries accumulated over hours
 	// of normal operation could be spent in the first second of an outage, and
 	// raise the load on the remaining servers by far more than the ratio.
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Take takes one retry or hedge from the budget, and reports whether it may be
-// sent.
-func (b *Budget) Take(now time.Time) bool {
+// TakeRetry takes one retry or hedge from the budget, and reports whether it may
+// be sent.
+func (b *Budget) TakeRetry(now time.Time) bool {
 	if b.tokens+tolerance >= 1 {
 		b.tokens = max(b.tokens-1, 0)
 		return true
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -28,13 +28,13 @@
 			now := time.Unix(0, 0)
 			b := budget.New(budget.WithRatio(0.1), budget.WithFloor(1), budget.WithBurst(50))
 			for range c.calm {
-				b.First(now)
+				b.RecordFirstAttempt(now)
 			}
 			sent := 0
 			for i := range 1000 {
 				now = now.Add(time.Millisecond)
 				if i < c.outage {
-					b.First(now)
+					b.RecordFirstAttempt(now)
 				}
 				sent += takeAll(b, now)
 			}
@@ -48,7 +48,7 @@
 // number.
 func takeAll(b *budget.Budget, now time.Time) int {
 	for n := range 1000 {
-		if !b.Take(now) {
+		if !b.TakeRetry(now) {
 			return n
 		}
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -229,7 +229,7 @@
 		{"garbage", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte{0xff}) }},
 		{"endless", func(w http.ResponseWriter, _ *http.Request) {
 			chunk := []byte(strings.Repeat(" ", 1<<20))
-			for range wire.MaxPage>>20 + 1 {
+			for range wire.MaxPageBytes>>20 + 1 {
 				if _, err := w.Write(chunk); err != nil {
 					return
 				}
--- a/client/list.go
+++ b/client/list.go
@@ -29,7 +29,7 @@
 
 func (l *list) Instances(ctx context.Context) ([]provider.Instance, error) {
 	tag, known := l.cached()
-	c := call{method: http.MethodGet, path: wire.PathInstances, etag: tag, maxResponseBytes: wire.MaxControl}
+	c := call{method: http.MethodGet, path: wire.PathInstances, etag: tag, maxResponseBytes: wire.MaxControlBytes}
 	resp, err := l.peer.do(ctx, c)
 	switch {
 	case err != nil:
--- a/client/log.go
+++ b/client/log.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		return 0, fault.Wrap(fault.Invalid, err, "encode records")
 	}
-	if len(body) > wire.MaxAppend {
-		return 0, fault.New(fault.TooLarge, "append of %d bytes, limit %d", len(body), wire.MaxAppend)
+	if len(body) > wire.MaxAppendBytes {
+		return 0, fault.New(fault.TooLarge, "append of %d bytes, limit %d", len(body), wire.MaxAppendBytes)
 	}
 	c := call{
 		method:           http.MethodPost,
@@ -39,7 +39,7 @@
 		contentType:      wire.TypeCBOR,
 		body:             body,
 		hasEffect:        true,
-		maxResponseBytes: wire.MaxRefusal,
+		maxResponseBytes: wire.MaxRefusalBytes,
 	}
 	resp, err := l.peer.do(ctx, c)
 	if err != nil {
@@ -48,7 +48,7 @@
 	if resp.refusal != nil {
 		return 0, resp.refusal
 	}
-	var appended wire.Appended
+	var appended wire.AppendResponse
 	if err := json.Unmarshal(resp.body, &appended); err != nil {
 		return 0, l.peer.callFault(ctx, err, c, true)
 	}
@@ -69,7 +69,7 @@
 			"wait":  {wait.String()},
 		},
 		serverWait:       wait,
-		maxResponseBytes: wire.MaxPage,
+		maxResponseBytes: wire.MaxPageBytes,
 	}
 	resp, err := l.peer.do(ctx, c)
 	if err != nil {
--- a/client/peer.go
+++ b/client/peer.go
@@ -160,14 +160,14 @@
 
 // json sends in as JSON and decodes the response into out. Either may be nil.
 func (p *peer) json(ctx context.Context, c call, in, out any) error {
-	c.maxResponseBytes = wire.MaxControl
+	c.maxResponseBytes = wire.MaxControlBytes
 	if in != nil {
 		body, err := json.Marshal(in)
 		if err != nil {
 			return fault.Wrap(fault.Invalid, err, "encode %s", c.path)
 		}
-		if len(body) > wire.MaxControl {
-			return fault.New(fault.TooLarge, "body of %d bytes, limit %d", len(body), wire.MaxControl)
+		if len(body) > wire.MaxControlBytes {
+			return fault.New(fault.TooLarge, "body of %d bytes, limit %d", len(body), wire.MaxControlBytes)
 		}
 		c.body, c.contentType = body, wire.TypeJSON
 	}
--- a/client/wire/wire.go
+++ b/client/wire/wire.go
@@ -19,12 +19,12 @@
 
 // Headers of a request to a service replica, and of refusals.
 const (
-	HeaderFault    = "Dogwood-Fault"    // name of the refusal's fault.Kind
-	HeaderEpoch    = "Dogwood-Epoch"    // lease epoch under which a request is sent
-	HeaderRequest  = "Dogwood-Request"  // unique ID, echoed in the response
-	HeaderDeadline = "Dogwood-Deadline" // milliseconds left
-	HeaderRunning  = "Dogwood-Running"  // in the response to a probe: whether the request with the probe's ID is running
-	HeaderKey      = "Idempotency-Key"  // set by the caller on a request that it may repeat
+	HeaderFault          = "Dogwood-Fault"    // name of the refusal's fault.Kind
+	HeaderEpoch          = "Dogwood-Epoch"    // lease epoch under which a request is sent
+	HeaderRequest        = "Dogwood-Request"  // unique ID, echoed in the response
+	HeaderDeadline       = "Dogwood-Deadline" // milliseconds left
+	HeaderRunning        = "Dogwood-Running"  // in the response to a probe: whether the request with the probe's ID is running
+	HeaderIdempotencyKey = "Idempotency-Key"  // set by the caller on a request that it may repeat
 )
 
 // Paths.
@@ -53,18 +53,18 @@
 
 // Size bounds, in bytes.
 const (
-	MaxAppend  = 16 << 20 // body of one append
-	MaxPage    = 24 << 20 // body of one page; a server limits the data of a page to MaxEntries
-	MaxEntries = 16 << 20
-	MaxControl = 4 << 20 // any JSON body
-	MaxRefusal = 64 << 10
+	MaxAppendBytes   = 16 << 20 // body of one append
+	MaxPageBytes     = 24 << 20 // body of one page; a server limits the data of a page to MaxPageDataBytes
+	MaxPageDataBytes = 16 << 20
+	MaxControlBytes  = 4 << 20 // any JSON body
+	MaxRefusalBytes  = 64 << 10
 )
 
 // MaxWait bounds how long a read may wait for its first entry.
 const MaxWait = time.Minute
 
-// Appended is the response to an append.
-type Appended struct {
+// AppendResponse is the response to an append.
+type AppendResponse struct {
 	First uint64 `json:"first"`
 }
 
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -101,7 +101,7 @@
 			Address:          m.Address,
 			AvailabilityZone: m.AvailabilityZone,
 			Free:             m.Free,
-			Heard:            m.Heard,
+			LastContact:      m.Heard,
 		})
 	}
 	return peers
--- a/controller/service.go
+++ b/controller/service.go
@@ -309,7 +309,7 @@
 			Weight:     c.groupWeight(s.Group),
 			Timeout:    s.Timeout,
 			Idempotent: s.Idempotent,
-			Queue:      s.Queue,
+			MaxQueue:   s.Queue,
 		}
 	}
 	for _, w := range c.sortedWorkers() {
@@ -333,7 +333,7 @@
 			Address:          w.address,
 			AvailabilityZone: c.self.AvailabilityZone,
 			Epoch:            epoch,
-			Until:            until,
+			LeaseUntil:       until,
 			Slots:            s.Slots,
 		})
 	}
--- a/controller/service_test.go
+++ b/controller/service_test.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		for _, b := range inst.routes.Backends[service] {
-			if h.now.Before(b.Until) {
+			if h.now.Before(b.LeaseUntil) {
 				workers[b.Worker] = true
 			}
 		}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -267,7 +267,7 @@
 
 func (d *Daemon) pollFreeSlots() error {
 	for d.tomb.Alive() {
-		d.enqueue(controller.Free{Slots: d.gateway.Free()})
+		d.enqueue(controller.Free{Slots: d.gateway.FreeSlots()})
 		d.sleep(freeSlotsInterval)
 	}
 	return nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -232,7 +232,7 @@
 // serve runs one server per listener, so that a flood of caller requests can't
 // shut out peers or operators.
 func (d *Daemon) serve(listeners []net.Listener) {
-	handlers := []http.Handler{d.gateway.Callers(), d.peerHandler(), d.operatorHandler()}
+	handlers := []http.Handler{d.gateway.CallerHandler(), d.peerHandler(), d.operatorHandler()}
 	for i, l := range listeners {
 		server := d.gateway.Server(handlers[i])
 		d.tomb.Go(func() error {
@@ -256,7 +256,7 @@
 // peerHandler serves links and forwarded requests. It doesn't use a ServeMux,
 // which would redirect a forwarded path that contains "//" or "..".
 func (d *Daemon) peerHandler() http.Handler {
-	forwards := d.gateway.Forwards()
+	forwards := d.gateway.PeerHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == peer.Path {
 			d.mesh.ServeHTTP(w, r)
--- a/forward/chooser.go
+++ b/forward/chooser.go
@@ -6,11 +6,11 @@
 //	c := forward.New(seed, table.AvailabilityZone)
 //	peer, ok := c.Choose(now, service, hops, table.Peers, nil)
 //	// forward with hops+1; if the peer had no free slot:
-//	c.Refused(now, service, peer.ID)
+//	c.RecordRefused(now, service, peer.ID)
 //	// if the peer was unreachable or didn't respond:
-//	c.Lost(now, peer.ID)
+//	c.RecordUnreachable(now, peer.ID)
 //	// with each response of a peer that reports its free slots:
-//	c.Heard(now, service, peer.ID, free)
+//	c.RecordFree(now, service, peer.ID, free)
 //
 // Information about a peer's free slots is always stale. It is discounted by
 // its age, requests sent since are subtracted, and the choice is random in
@@ -82,10 +82,10 @@
 	return func(c *Chooser) { c.minFree = slots }
 }
 
-// WithAgain sets the minimum time between requests to a peer that was full,
-// 100 ms by default. Zero disables such requests until the peer reports free
-// slots.
-func WithAgain(d time.Duration) Option {
+// WithRetryInterval sets the minimum time between requests to a peer that was
+// full, 100 ms by default. Zero disables such requests until the peer reports
+// free slots.
+func WithRetryInterval(d time.Duration) Option {
 	return func(c *Chooser) { c.retryInterval = d }
 }
 
@@ -204,8 +204,8 @@
 // whichever is later.
 func (c *Chooser) latest(service string, p route.Peer) load {
 	l, ok := c.loads[key{service, p.ID}]
-	if !ok || p.Heard.After(l.reportedAt) {
-		return load{reportedAt: p.Heard, free: p.Free[service], lastTriedAt: l.lastTriedAt}
+	if !ok || p.LastContact.After(l.reportedAt) {
+		return load{reportedAt: p.LastContact, free: p.Free[service], lastTriedAt: l.lastTriedAt}
 	}
 	return l
 }
@@ -242,24 +242,24 @@
 	maps.DeleteFunc(c.lostAt, func(_ string, at time.Time) bool { return now.Sub(at) >= c.maxAge })
 }
 
-// Heard records the free slots that a peer reported with a response.
-func (c *Chooser) Heard(now time.Time, service, peer string, free int) {
+// RecordFree records the free slots that a peer reported with a response.
+func (c *Chooser) RecordFree(now time.Time, service, peer string, free int) {
 	k := key{service, peer}
 	c.store(now, k, load{reportedAt: now, free: free, lastTriedAt: c.loads[k].lastTriedAt})
 }
 
-// Refused records that a peer had no free slot.
-func (c *Chooser) Refused(now time.Time, service, peer string) {
+// RecordRefused records that a peer had no free slot.
+func (c *Chooser) RecordRefused(now time.Time, service, peer string) {
 	c.store(now, key{service, peer}, load{reportedAt: now, lastTriedAt: now})
 }
 
-// Lost records that a peer was unreachable or didn't respond. The peer is not
-// chosen again until its next heartbeat.
+// RecordUnreachable records that a peer was unreachable or didn't respond. The
+// peer is not chosen again until its next heartbeat.
 //
 // If an availability zone is cut off, the last heartbeats of its peers still
 // report free slots, and forwarded requests would time out one after the other
 // until these heartbeats expire.
-func (c *Chooser) Lost(now time.Time, peer string) {
+func (c *Chooser) RecordUnreachable(now time.Time, peer string) {
 	if len(c.lostAt) >= maxEntries {
 		c.deleteExpired(now)
 	}
@@ -268,5 +268,5 @@
 
 func (c *Chooser) isLost(p route.Peer) bool {
 	at, ok := c.lostAt[p.ID]
-	return ok && !p.Heard.After(at)
+	return ok && !p.LastContact.After(at)
 }
--- a/forward/chooser_test.go
+++ b/forward/chooser_test.go
@@ -15,7 +15,7 @@
 const service = "price"
 
 func peer(id, zone string, free int, age time.Duration) route.Peer {
-	return route.Peer{ID: id, AvailabilityZone: zone, Free: map[string]int{service: free}, Heard: start.Add(-age)}
+	return route.Peer{ID: id, AvailabilityZone: zone, Free: map[string]int{service: free}, LastContact: start.Add(-age)}
 }
 
 // Guards each rule of the choice with one request: zone, free slots, age of the
@@ -60,11 +60,11 @@
 		is.True(choose(start))
 	}
 	is.True(!choose(start))
-	c.Refused(start, service, "p")
+	c.RecordRefused(start, service, "p")
 	is.True(!choose(start.Add(forward.DefaultRetryInterval - 1)))
 	is.True(choose(start.Add(forward.DefaultRetryInterval)))  // tried once
 	is.True(!choose(start.Add(forward.DefaultRetryInterval))) // and not twice
-	c.Heard(start.Add(forward.DefaultRetryInterval), service, "p", 2)
+	c.RecordFree(start.Add(forward.DefaultRetryInterval), service, "p", 2)
 	is.True(choose(start.Add(forward.DefaultRetryInterval)))
 }
 
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	c := forward.New(1, "a")
 	later := start.Add(time.Second)
-	c.Lost(later, "p")
+	c.RecordUnreachable(later, "p")
 	_, ok := c.Choose(later, service, 0, []route.Peer{peer("p", "a", 9, 0)}, nil)
 	is.True(!ok)
 	_, ok = c.Choose(later, service, 0, []route.Peer{peer("p", "a", 9, -2*time.Second)}, nil)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -85,7 +85,7 @@
 		pathPrefix: "/services/",
 		id:         backend.Worker,
 		epoch:      backend.Epoch,
-		leaseUntil: backend.Until,
+		leaseUntil: backend.LeaseUntil,
 	}, true
 }
 
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -37,7 +37,7 @@
 	}
 	service := table.Services["price"]
 	service.GroupSlots = 640
-	service.Queue = 640
+	service.MaxQueue = 640
 	table.Services["price"] = service
 	return table
 }
@@ -53,7 +53,7 @@
 	address := listen(b, &http.Server{Handler: http.HandlerFunc(echo)})
 	g := New(WithSeed(1))
 	g.Publish(benchTable(address))
-	entry := listen(b, g.Server(g.Callers()))
+	entry := listen(b, g.Server(g.CallerHandler()))
 	benchmark(b, "http://"+entry+"/services/price/load")
 }
 
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -76,7 +76,7 @@
 	now := time.Now()
 	service := t.Request.Service
 	if b, found := g.balancers[service]; found {
-		g.gate.Capacity(service, b.Slots(now))
+		g.gate.SetCapacity(service, b.Slots(now))
 	}
 	g.wakeWaiters(g.gate.Release(now, t, latency, ok))
 	g.armExpiry(now)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -7,8 +7,8 @@
 //
 //	g := gateway.New(gateway.WithLogger(log))
 //	g.Publish(table) // and again with each new table
-//	go g.Server(g.Callers()).Serve(callers)
-//	go g.Server(g.Forwards()).Serve(peers)
+//	go g.Server(g.CallerHandler()).Serve(callers)
+//	go g.Server(g.PeerHandler()).Serve(peers)
 //	...
 //	g.Drain(ctx) // then Shutdown of both servers
 //
@@ -105,13 +105,13 @@
 	return g
 }
 
-// Callers returns the handler of the listener for callers.
-func (g *Gateway) Callers() http.Handler {
+// CallerHandler returns the handler of the listener for callers.
+func (g *Gateway) CallerHandler() http.Handler {
 	return g.mux("services", 0)
 }
 
-// Forwards returns the handler of the listener for other entry instances.
-func (g *Gateway) Forwards() http.Handler {
+// PeerHandler returns the handler of the listener for other entry instances.
+func (g *Gateway) PeerHandler() http.Handler {
 	mux := g.mux("forward", 1)
 	mux.HandleFunc(pat.Post(claimPattern), g.handleClaim)
 	mux.HandleFunc(pat.Delete(claimPattern), g.handleRelease)
@@ -130,9 +130,9 @@
 	return mux
 }
 
-// Free returns the number of free slots by service, and nil when the instance
-// is leaving.
-func (g *Gateway) Free() map[string]int {
+// FreeSlots returns the number of free slots by service, and nil when the
+// instance is leaving.
+func (g *Gateway) FreeSlots() map[string]int {
 	if g.isLeaving() {
 		return nil
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 		is.Equal(seen.Header.Get("X-Hop"), "")
 		is.Equal(seen.Header.Get(HeaderRequest), resp.Header.Get(HeaderRequest))
 		is.Equal(s.gateway.Report().Answered, uint64(1))
-		is.Equal(s.gateway.Free()["price"], 8)
+		is.Equal(s.gateway.FreeSlots()["price"], 8)
 		is.True(strings.Contains(s.gateway.Dump(), "service name=price window=1"))
 	})
 }
@@ -179,7 +179,7 @@
 		w.handler = func(_ http.ResponseWriter, r *http.Request) { w.run(r) }
 		n.serve("w1", &http.Server{Handler: w})
 		table := tableOf("e1", "w1")
-		table.Backends["price"][0].Until = time.Now().Add(time.Second)
+		table.Backends["price"][0].LeaseUntil = time.Now().Add(time.Second)
 		s := newInstance(n, "e1", table, WithProbeAfter(time.Minute))
 		resp, err := s.client.Get("http://e1/services/none") // opens the caller's connection
 		is.NoErr(err)
@@ -320,7 +320,7 @@
 		synctest.Wait()
 		is.Equal(s.gateway.Report().Abandoned, uint64(1))
 		is.Equal(s.gateway.Report().InFlight, 0)
-		is.Equal(s.gateway.Free()["price"], 8)
+		is.Equal(s.gateway.FreeSlots()["price"], 8)
 	})
 }
 
--- a/gateway/header.go
+++ b/gateway/header.go
@@ -22,7 +22,7 @@
 	HeaderHops       = "Dogwood-Hops"        // how often the request was forwarded
 	HeaderRunning    = "Dogwood-Running"     // in the response to a probe: whether the request runs
 	HeaderFree       = "Dogwood-Free"        // free slots, in a peer's response
-	HeaderKey        = wire.HeaderKey
+	HeaderKey        = wire.HeaderIdempotencyKey
 )
 
 const headerPrefix = "Dogwood-"
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -206,7 +206,7 @@
 		Instance:         instance,
 		AvailabilityZone: "a",
 		Services: map[string]route.Service{
-			"price": {Name: "price", Group: "yard", Weight: 1, Timeout: 10 * time.Second, Queue: 8, GroupSlots: 64},
+			"price": {Name: "price", Group: "yard", Weight: 1, Timeout: 10 * time.Second, MaxQueue: 8, GroupSlots: 64},
 		},
 		Backends: map[string][]route.Backend{},
 	}
@@ -216,7 +216,7 @@
 			Address:          address,
 			AvailabilityZone: "a",
 			Epoch:            7,
-			Until:            time.Now().Add(time.Hour),
+			LeaseUntil:       time.Now().Add(time.Hour),
 			Slots:            8,
 		})
 	}
@@ -237,8 +237,8 @@
 	opts = append([]Option{WithSeed(1), WithDial(n.dial)}, opts...)
 	g := New(opts...)
 	g.Publish(table)
-	n.serve(id, g.Server(g.Callers()))
-	n.serve(id+"-peer", g.Server(g.Forwards()))
+	n.serve(id, g.Server(g.CallerHandler()))
+	n.serve(id+"-peer", g.Server(g.PeerHandler()))
 	return &entryInstance{network: n, gateway: g, client: n.client(), id: id}
 }
 
@@ -249,7 +249,7 @@
 		Address:          s.id + "-peer",
 		AvailabilityZone: zone,
 		Free:             map[string]int{"price": free},
-		Heard:            time.Now(),
+		LastContact:      time.Now(),
 	}
 }
 
--- a/gateway/peer.go
+++ b/gateway/peer.go
@@ -48,12 +48,12 @@
 		return
 	case !o.reportedByTarget:
 		if !o.final && o.result != balancer.OK {
-			g.chooser.Lost(now, t.id)
+			g.chooser.RecordUnreachable(now, t.id)
 		}
 	case o.err.Kind == fault.Leaving:
-		g.chooser.Lost(now, t.id)
+		g.chooser.RecordUnreachable(now, t.id)
 	case o.err.Answer().Ran == fault.NotRun:
-		g.chooser.Refused(now, c.service.Name, t.id)
+		g.chooser.RecordRefused(now, c.service.Name, t.id)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.chooser.Heard(time.Now(), c.service.Name, t.id, free)
+	g.chooser.RecordFree(time.Now(), c.service.Name, t.id, free)
 }
 
 // setFreeHeader adds the number of free slots to the response to a forwarded
--- a/gateway/peer_test.go
+++ b/gateway/peer_test.go
@@ -61,7 +61,7 @@
 					table.Peers = append(table.Peers, newInstance(n, name, tableOf(name, "w-"+name)).peer(zone, free))
 				}
 				time.Sleep(test.age)
-				withoutService := route.Peer{ID: "without", AvailabilityZone: "a", Heard: time.Now()}
+				withoutService := route.Peer{ID: "without", AvailabilityZone: "a", LastContact: time.Now()}
 				table.Peers = append(table.Peers, withoutService)
 				s := newInstance(n, "e1", table)
 				if test.own > 0 {
--- a/gateway/publish.go
+++ b/gateway/publish.go
@@ -52,7 +52,7 @@
 	}
 	g.gate.Update(t.Services, total)
 	for service := range t.Services {
-		g.gate.Capacity(service, slots[service])
+		g.gate.SetCapacity(service, slots[service])
 	}
 	g.wakeWaiters(g.gate.Admit(now))
 	g.armExpiry(now)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -188,7 +188,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if b, ok := g.budgets[c.service.Name]; ok {
-		b.First(time.Now())
+		b.RecordFirstAttempt(time.Now())
 	}
 }
 
@@ -197,7 +197,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b, ok := g.budgets[c.service.Name]
-	if !ok || !b.Take(time.Now()) {
+	if !ok || !b.TakeRetry(time.Now()) {
 		g.counters.unbudgeted.Add(1)
 		return false
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -32,7 +32,7 @@
 	Weight     float64       // of the group when slots are shared under overload
 	Timeout    time.Duration // of a request without a deadline
 	Idempotent bool          // requests of every method may be retried
-	Queue      int           // maximum number of requests waiting at this instance
+	MaxQueue   int           // maximum number of requests waiting at this instance
 	GroupSlots int           // maximum number of slots of the group on this instance
 }
 
@@ -42,7 +42,7 @@
 	Address          string // host:port
 	AvailabilityZone string
 	Epoch            uint64    // the lease's epoch, sent with each request
-	Until            time.Time // the lease must not be used from then on (monotonic clock)
+	LeaseUntil       time.Time // the lease must not be used from then on (monotonic clock)
 	Slots            int
 }
 
@@ -51,6 +51,6 @@
 	ID               string
 	Address          string // host:port of its peer listener
 	AvailabilityZone string
-	Free             map[string]int // free slots by service, as of Heard
-	Heard            time.Time      // when the peer's last heartbeat arrived
+	Free             map[string]int // free slots by service, as of LastContact
+	LastContact      time.Time      // when the peer's last heartbeat arrived
 }
--- a/standin/caller/request.go
+++ b/standin/caller/request.go
@@ -130,7 +130,7 @@
 		request.Body = http.NoBody
 	}
 	if r.key != "" {
-		request.Header.Set(wire.HeaderKey, r.key)
+		request.Header.Set(wire.HeaderIdempotencyKey, r.key)
 	}
 	return request.WithContext(ctx)
 }
@@ -138,7 +138,7 @@
 // classifyAnswer determines the outcome of an answer. An answer without the fault
 // header comes from the service itself.
 func classifyAnswer(response *http.Response, expected answer.Answer) result {
-	body, err := io.ReadAll(io.LimitReader(response.Body, int64(len(expected.Bytes()))+wire.MaxRefusal))
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(len(expected.Bytes()))+wire.MaxRefusalBytes))
 	if name := response.Header.Get(wire.HeaderFault); name != "" {
 		return refusalResult(name, response.Header)
 	}
--- a/standin/faults/handler.go
+++ b/standin/faults/handler.go
@@ -76,7 +76,7 @@
 // detects a disconnected sender only after the body is read; otherwise a slow
 // stand-in would execute requests whose senders have given up.
 func readBody(w http.ResponseWriter, r *http.Request) error {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxAppend))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxAppendBytes))
 	if err != nil {
 		return wire.BodyError(err)
 	}
--- a/standin/logservice/handler.go
+++ b/standin/logservice/handler.go
@@ -46,7 +46,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", wire.TypeJSON)
-	_ = json.NewEncoder(w).Encode(wire.Appended{First: first}) // fails if the reader has disconnected
+	_ = json.NewEncoder(w).Encode(wire.AppendResponse{First: first}) // fails if the reader has disconnected
 }
 
 func (s *Service) handleAppend(w http.ResponseWriter, r *http.Request) (uint64, error) {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return 0, err
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxAppend))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxAppendBytes))
 	if err != nil {
 		return 0, wire.BodyError(err)
 	}
--- a/standin/logservice/logservice_test.go
+++ b/standin/logservice/logservice_test.go
@@ -79,5 +79,5 @@
 	is.Equal(page.Next, uint64(3)) // the refused append had no effect
 
 	is.Equal(appendOne(s, []byte("not CBOR")).Code, http.StatusBadRequest)
-	is.Equal(appendOne(s, make([]byte, wire.MaxAppend+1)).Code, http.StatusRequestEntityTooLarge)
+	is.Equal(appendOne(s, make([]byte, wire.MaxAppendBytes+1)).Code, http.StatusRequestEntityTooLarge)
 }
--- a/standin/logservice/stream.go
+++ b/standin/logservice/stream.go
@@ -67,12 +67,12 @@
 }
 
 // pageLength returns how many entries fit into one page: at most limit, and no
-// more data than wire.MaxEntries, but at least one.
+// more data than wire.MaxPageDataBytes, but at least one.
 func pageLength(entries []provider.Entry, limit int) int {
 	size := 0
 	for n, e := range entries {
 		size += len(e.Data)
-		if n == limit || (n > 0 && size > wire.MaxEntries) {
+		if n == limit || (n > 0 && size > wire.MaxPageDataBytes) {
 			return n
 		}
 	}
--- a/standin/worker/handler.go
+++ b/standin/worker/handler.go
@@ -51,7 +51,7 @@
 func jsonHandler[In, Out any](call func(In) (Out, error)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		var in In
-		decoder := json.NewDecoder(http.MaxBytesReader(rw, r.Body, wire.MaxControl))
+		decoder := json.NewDecoder(http.MaxBytesReader(rw, r.Body, wire.MaxControlBytes))
 		if err := decoder.Decode(&in); err != nil {
 			wire.Refuse(rw, wire.BodyError(err))
 			return
--- a/standin/worker/service.go
+++ b/standin/worker/service.go
@@ -177,7 +177,7 @@
 		service: service,
 		epoch:   epoch,
 		id:      r.Header.Get(wire.HeaderRequest),
-		key:     r.Header.Get(wire.HeaderKey),
+		key:     r.Header.Get(wire.HeaderIdempotencyKey),
 		shape:   s,
 		sum:     answer.Sum(body),
 	}, nil
