--- a/appender/appender.go
+++ b/appender/appender.go
@@ -6,9 +6,9 @@
 //	sequence := a.Add(record.Record{Claim: &record.Claim{Tasks: ids}})
 //	if batch, ok := a.Next(now); ok {
 //		// append batch.Data, then
-//		a.Answered(now, err)
+//		a.HandleResult(now, err)
 //	}
-//	a.Folded(now, sequence) // the record was read back
+//	a.HandleReadBack(now, sequence) // the record was read back
 //
 // One batch is in flight at a time. A batch whose answer was lost is sent again
 // with the same sequences until it has been read back. Readers ignore a sequence
@@ -25,11 +25,11 @@
 
 // Defaults of the options.
 const (
-	DefaultInterval = 250 * time.Millisecond
-	DefaultPatience = 2 * time.Second
-	DefaultBatch    = 256
-	DefaultPending  = 8192
-	DefaultBytes    = 1 << 20
+	DefaultInterval        = 250 * time.Millisecond
+	DefaultReadBackTimeout = 2 * time.Second
+	DefaultMaxBatch        = 256
+	DefaultMaxPending      = 8192
+	DefaultMaxBytes        = 1 << 20
 )
 
 // Appender is the writing side of a zone stream. It isn't safe for concurrent
@@ -79,9 +79,9 @@
 	return func(a *Appender) { a.interval = d }
 }
 
-// WithPatience sets the time after which an appended batch that wasn't read
-// back is appended again.
-func WithPatience(d time.Duration) Option {
+// WithReadBackTimeout sets the time after which an appended batch that wasn't
+// read back is appended again.
+func WithReadBackTimeout(d time.Duration) Option {
 	return func(a *Appender) { a.readBackTimeout = d }
 }
 
@@ -95,10 +95,10 @@
 	a := &Appender{
 		writer:          w,
 		interval:        DefaultInterval,
-		readBackTimeout: DefaultPatience,
-		maxBatch:        DefaultBatch,
-		maxBytes:        DefaultBytes,
-		maxWaiting:      DefaultPending,
+		readBackTimeout: DefaultReadBackTimeout,
+		maxBatch:        DefaultMaxBatch,
+		maxBytes:        DefaultMaxBytes,
+		maxWaiting:      DefaultMaxPending,
 	}
 	for _, opt := range opts {
 		opt(a)
@@ -142,7 +142,7 @@
 }
 
 // Next returns the batch to append now, if there is one. After it has returned
-// one, it returns none until Answered is called.
+// one, it returns none until HandleResult is called.
 func (a *Appender) Next(now time.Time) (Batch, bool) {
 	if a.state == inFlight || now.Before(a.batchStartedAt.Add(a.minInterval())) {
 		return Batch{}, false
@@ -161,10 +161,10 @@
 	return a.currentBatch(), true
 }
 
-// Answered handles the result of the append call. After any error the batch is
-// sent again, whether or not it took effect, unless it has already been read
+// HandleResult handles the result of the append call. After any error the batch
+// is sent again, whether or not it took effect, unless it has already been read
 // back.
-func (a *Appender) Answered(now time.Time, err error) {
+func (a *Appender) HandleResult(now time.Time, err error) {
 	if a.state != inFlight {
 		return
 	}
@@ -181,9 +181,9 @@
 	a.state = appended
 }
 
-// Folded handles that the record with a sequence, and all earlier ones, were
-// read back.
-func (a *Appender) Folded(now time.Time, sequence uint64) {
+// HandleReadBack handles that the record with a sequence, and all earlier ones,
+// were read back.
+func (a *Appender) HandleReadBack(now time.Time, sequence uint64) {
 	for len(a.sent) > 0 && a.sent[0].sequence <= sequence {
 		a.sent = a.sent[1:]
 	}
@@ -198,14 +198,14 @@
 	a.retries = 0
 }
 
-// Waiting returns the number of records that aren't read back yet.
-func (a *Appender) Waiting() int {
+// PendingCount returns the number of records that aren't read back yet.
+func (a *Appender) PendingCount() int {
 	return len(a.waiting) + len(a.sent)
 }
 
-// Settled reports whether the record with a sequence was read back or
+// IsSettled reports whether the record with a sequence was read back or
 // withdrawn.
-func (a *Appender) Settled(sequence uint64) bool {
+func (a *Appender) IsSettled(sequence uint64) bool {
 	for _, items := range [][]item{a.sent, a.waiting} {
 		if len(items) > 0 && items[0].sequence <= sequence {
 			return false
@@ -214,8 +214,8 @@
 	return true
 }
 
-// Last returns the newest assigned sequence.
-func (a *Appender) Last() uint64 {
+// LastSequence returns the newest assigned sequence.
+func (a *Appender) LastSequence() uint64 {
 	return a.lastSequence
 }
 
--- a/appender/appender_test.go
+++ b/appender/appender_test.go
@@ -33,8 +33,8 @@
 	add(t, a, 1)
 	_, ok := a.Next(start)
 	is.True(ok)
-	a.Folded(start, 1)
-	a.Answered(start, nil)
+	a.HandleReadBack(start, 1)
+	a.HandleResult(start, nil)
 	add(t, a, 1)
 	batch, ok := a.Next(start.Add(time.Second))
 	is.True(ok)
@@ -53,12 +53,12 @@
 	add(t, a, 1)
 	_, ok = a.Next(start.Add(time.Minute))
 	is.True(!ok) // one batch at a time
-	a.Answered(start, lost)
+	a.HandleResult(start, lost)
 	again, ok := a.Next(start.Add(time.Minute))
 	is.True(ok)
 	is.Equal(again, first)
-	a.Answered(start.Add(time.Minute), nil)
-	a.Folded(start.Add(time.Minute), 2)
+	a.HandleResult(start.Add(time.Minute), nil)
+	a.HandleReadBack(start.Add(time.Minute), 2)
 	next, ok := a.Next(start.Add(2 * time.Minute))
 	is.True(ok)
 	is.Equal(next.First, uint64(3))
@@ -68,10 +68,10 @@
 // taken as proof, the instance would wait forever for a record that the log lost.
 func TestUnreadIsSentAgain(t *testing.T) {
 	is := is.New(t)
-	a := appender.New(record.Writer{ID: "e1"}, appender.WithPatience(2*time.Second))
+	a := appender.New(record.Writer{ID: "e1"}, appender.WithReadBackTimeout(2*time.Second))
 	add(t, a, 1)
 	first, _ := a.Next(start)
-	a.Answered(start, nil)
+	a.HandleResult(start, nil)
 	_, ok := a.Next(start.Add(time.Second))
 	is.True(!ok)
 	again, ok := a.Next(start.Add(3 * time.Second))
@@ -89,7 +89,7 @@
 	add(t, a, 1)
 	is.True(!a.Withdraw(1))
 	is.True(a.Withdraw(2))
-	is.Equal(a.Waiting(), 1)
+	is.Equal(a.PendingCount(), 1)
 }
 
 // Nothing can be appended while records are still added. The queue must be
@@ -111,7 +111,7 @@
 			now = now.Add(appender.DefaultInterval)
 		}
 		waits = append(waits, now.Sub(began))
-		a.Answered(now, lost)
+		a.HandleResult(now, lost)
 	}
 	is.Equal(waits[7], 32*appender.DefaultInterval) // the backoff is bounded
 }
--- a/bench/batch/recovery.go
+++ b/bench/batch/recovery.go
@@ -190,7 +190,7 @@
 	for range s.Recoveries() {
 		settled = false
 	}
-	for w := range s.Owners() {
+	for w := range s.ActiveOwners() {
 		if live := c.live[w.ID]; live == nil || !live.isCurrent(w.Incarnation) {
 			settled = false
 		}
--- a/bench/batch/wire.go
+++ b/bench/batch/wire.go
@@ -171,7 +171,7 @@
 	defer server.Close()
 	go a.Run(ctx)
 	go b.Run(ctx)
-	a.Set([]peer.Peer{{ID: "e01", Address: "peer", AvailabilityZone: "zone-a"}})
+	a.SetPeers([]peer.Peer{{ID: "e01", Address: "peer", AvailabilityZone: "zone-a"}})
 	go drain(ctx, a)
 	var before int64
 	for i := range uint64(calibrationRounds + 1) {
--- a/controller/claim.go
+++ b/controller/claim.go
@@ -28,7 +28,7 @@
 // instance's selection, so that all instances keep the rest of the group's
 // limit free for them.
 func (c *Controller) claimTasks(now time.Time) {
-	if c.leaving || !c.isFresh(now) || !c.appender.Settled(c.claimSequence) || now.Sub(c.lastSelection) < c.selectionInterval() {
+	if c.leaving || !c.isFresh(now) || !c.appender.IsSettled(c.claimSequence) || now.Sub(c.lastSelection) < c.selectionInterval() {
 		return
 	}
 	c.lastSelection = now
@@ -58,7 +58,7 @@
 func (c *Controller) splitQueue(now time.Time, free map[string]resource.Vector) (own, foreign []share.Task) {
 	live := c.members.Live(c.self.AvailabilityZone)
 	c.urgentQueued = false
-	for t := range c.State().Queued() {
+	for t := range c.State().QueuedTasks() {
 		if at, ok := c.proposedAt["claim/"+t.ID]; ok && now.Sub(at) < reclaimInterval {
 			continue
 		}
--- a/controller/command.go
+++ b/controller/command.go
@@ -46,7 +46,7 @@
 	if c.leaving {
 		return fault.New(fault.Leaving, "instance %s is shutting down", c.self.ID)
 	}
-	if !c.follower.Ready() || now.Sub(c.follower.Tail()) > c.timing.CommandTimeout {
+	if !c.follower.Ready() || now.Sub(c.follower.TailReadAt()) > c.timing.CommandTimeout {
 		return fault.New(fault.Unavailable, "the log service can't be reached")
 	}
 	return nil
--- a/controller/config.go
+++ b/controller/config.go
@@ -143,7 +143,7 @@
 // handleConfigRead applies a page of the configuration stream.
 func (c *Controller) handleConfigRead(now time.Time, in Read) {
 	if in.Page.Oldest > c.revisions.Next() {
-		c.revisions.Restart(in.Page.Oldest)
+		c.revisions.RestartAt(in.Page.Oldest)
 	}
 	if in.Err != nil {
 		return
@@ -172,7 +172,7 @@
 	}
 	switch outcome.Kind {
 	case revision.Published, revision.Repeated:
-		c.emit(Answer{ID: pub.id, Revision: outcome.Winner.Number})
+		c.emit(Answer{ID: pub.id, Revision: outcome.InForce.Number})
 	default:
 		c.emit(Answer{ID: pub.id, Err: fault.New(fault.Conflict, "%s", outcome)})
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -230,7 +230,7 @@
 
 // isFresh reports whether the zone's state is recent enough to act on.
 func (c *Controller) isFresh(now time.Time) bool {
-	return c.follower.Ready() && now.Sub(c.follower.Tail()) <= c.timing.MaxIsolation
+	return c.follower.Ready() && now.Sub(c.follower.TailReadAt()) <= c.timing.MaxIsolation
 }
 
 // isProposer reports whether this instance writes the records that any
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -44,7 +44,7 @@
 // limit beside those submitted before them.
 func (c *Controller) tasksOverLimit(group string, limit resource.Vector) []zone.Task {
 	var all []zone.Task
-	for t := range c.State().Active() {
+	for t := range c.State().LiveTasks() {
 		if t.Group == group && t.State == zone.Escrowed {
 			all = append(all, t)
 		}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -29,7 +29,7 @@
 }
 
 func (c *Controller) handleHeartbeat(now time.Time, h member.Heartbeat) {
-	switch c.members.Heard(now, h) {
+	switch c.members.HandleHeartbeat(now, h) {
 	case member.Rejected:
 		return
 	case member.Replaced:
@@ -45,7 +45,7 @@
 
 func (c *Controller) handleUnlinked(now time.Time, in Unlinked) {
 	if in.Refused {
-		c.members.Lost(now, in.ID)
+		c.members.HandleRefused(now, in.ID)
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	c.leaving = true
 	c.routesDirty = true
-	c.members.Leave()
+	c.members.BeginLeave()
 	c.handleTick(now)
 }
 
@@ -160,7 +160,7 @@
 // finishLeaving emits Left once no worker is held and all written records have
 // been read back.
 func (c *Controller) finishLeaving(now time.Time) {
-	if !c.leaving || c.left || c.appender.Waiting() > 0 {
+	if !c.leaving || c.left || c.appender.PendingCount() > 0 {
 		return
 	}
 	if c.isLastInstance() {
--- a/controller/status.go
+++ b/controller/status.go
@@ -62,9 +62,9 @@
 		AvailabilityZone: c.self.AvailabilityZone,
 		Revision:         c.revisions.Current().Number,
 		Ready:            c.follower.Ready(),
-		Behind:           now.Sub(c.follower.Tail()).Round(time.Millisecond).String(),
+		Behind:           now.Sub(c.follower.TailReadAt()).Round(time.Millisecond).String(),
 		Isolated:         c.members.Isolated(),
-		Waiting:          c.appender.Waiting(),
+		Waiting:          c.appender.PendingCount(),
 		Members:          c.members.Members(),
 	}
 	for _, w := range c.sortedWorkers() {
@@ -76,7 +76,7 @@
 	for name, g := range c.State().Groups() {
 		s.Groups = append(s.Groups, GroupStatus{name, g})
 	}
-	for t := range c.State().Parked() {
+	for t := range c.State().ParkedTasks() {
 		if len(s.Parked) < maxListed {
 			s.Parked = append(s.Parked, TaskStatus{t.ID, t.Reason})
 		}
@@ -120,9 +120,9 @@
 // InstancesWithout returns the instances that aren't known to have a revision.
 func (c *Controller) InstancesWithout(revision uint64) []string {
 	if c.revisions.Current().Number < revision {
-		return append(c.members.Missing(revision), c.self.ID)
+		return append(c.members.MembersBehind(revision), c.self.ID)
 	}
-	return c.members.Missing(revision)
+	return c.members.MembersBehind(revision)
 }
 
 // Dump returns the controller's state as human-readable text.
@@ -131,8 +131,8 @@
 	fmt.Fprintf(&b, "# instance\nid=%s zone=%s incarnation=%d revision=%d leaving=%v\n",
 		c.self.ID, c.self.AvailabilityZone, c.self.Incarnation, c.revisions.Current().Number, c.leaving)
 	fmt.Fprintf(&b, "ready=%v next=%d behind=%v waiting=%d damaged=%d gaps=%d newer=%d\n",
-		c.follower.Ready(), c.follower.Next(), now.Sub(c.follower.Tail()).Round(time.Millisecond), c.appender.Waiting(),
-		c.follower.Damaged(), c.follower.Gaps(), c.follower.Newer())
+		c.follower.Ready(), c.follower.Next(), now.Sub(c.follower.TailReadAt()).Round(time.Millisecond), c.appender.PendingCount(),
+		c.follower.DamagedCount(), c.follower.GapCount(), c.follower.NewerVersion())
 	c.dumpMembers(&b, now)
 	c.dumpHoldings(&b, now)
 	if c.State() != nil {
--- a/controller/stream.go
+++ b/controller/stream.go
@@ -34,7 +34,7 @@
 	if in.Err != nil && in.Page.Oldest <= c.follower.Next() {
 		return
 	}
-	applied := c.follower.Feed(now, in.Sent, in.Page)
+	applied := c.follower.ApplyPage(now, in.Sent, in.Page)
 	if c.State() == nil {
 		c.handleUnappliedEntries(now, in.Page.Entries)
 	}
@@ -60,7 +60,7 @@
 		if err != nil || r.Writer != c.writer() {
 			continue
 		}
-		c.appender.Folded(now, r.Sequence)
+		c.appender.HandleReadBack(now, r.Sequence)
 		c.clearPendingEnds(r)
 		c.clearPendingClaim(r)
 		c.clearPendingOwn(r)
@@ -80,7 +80,7 @@
 // handleApplied acts on one applied record.
 func (c *Controller) handleApplied(now time.Time, a follower.Applied) {
 	if a.Record.Writer == c.writer() {
-		c.appender.Folded(now, a.Record.Sequence)
+		c.appender.HandleReadBack(now, a.Record.Sequence)
 		c.clearPendingEnds(a.Record)
 		c.clearPendingClaim(a.Record)
 		c.clearPendingOwn(a.Record)
@@ -137,9 +137,9 @@
 		c.config.handleAppended()
 		return
 	}
-	c.appender.Answered(now, in.Err)
+	c.appender.HandleResult(now, in.Err)
 	if in.Err != nil {
-		c.logEvent(Warn, "append failed", "stream", in.Stream, "error", in.Err.Error(), "waiting", c.appender.Waiting())
+		c.logEvent(Warn, "append failed", "stream", in.Stream, "error", in.Err.Error(), "waiting", c.appender.PendingCount())
 	}
 }
 
@@ -187,7 +187,7 @@
 // settled only once the new one writes a record; without this they would wait
 // while the instance is up and idle.
 func (c *Controller) appendFirstRecord(now time.Time) {
-	if c.follower.Ready() && c.appender.Last() == 0 && !c.leaving {
+	if c.follower.Ready() && c.appender.LastSequence() == 0 && !c.leaving {
 		c.appendRecord(record.Record{Marker: &record.Marker{}})
 	}
 }
@@ -197,11 +197,11 @@
 // the state, it appends a regular snapshot, which overrules the recovery.
 func (c *Controller) recoverState(now time.Time) {
 	switch {
-	case c.follower.Ready() && c.follower.Contested():
+	case c.follower.Ready() && c.follower.RecoveryPending():
 		if c.allowProposal(now, "overrule") {
 			c.appendSnapshot()
 		}
-	case c.follower.Contested():
+	case c.follower.RecoveryPending():
 		if c.allowProposal(now, "marker") {
 			c.appendRecord(record.Record{Marker: &record.Marker{}})
 		}
@@ -211,7 +211,7 @@
 }
 
 func (c *Controller) appendRecoverySnapshot(now time.Time) {
-	prior, lost := c.follower.Lost()
+	prior, lost := c.follower.StateLost()
 	if !lost {
 		c.stateLostAt = time.Time{}
 		return
@@ -240,7 +240,7 @@
 // an outage, such as a fence of an instance that is back, would be out of date
 // when appended.
 func (c *Controller) proposeRecords(now time.Time) {
-	if now.Sub(c.follower.Tail()) > c.timing.SuspicionTimeout {
+	if now.Sub(c.follower.TailReadAt()) > c.timing.SuspicionTimeout {
 		clear(c.downSince)
 		return
 	}
@@ -258,7 +258,7 @@
 // proposeFences fences the incarnations that own something and have been out
 // of service for longer than the fence time.
 func (c *Controller) proposeFences(now time.Time) {
-	for writer := range c.State().Owners() {
+	for writer := range c.State().ActiveOwners() {
 		if c.isInService(writer) {
 			delete(c.downSince, writer)
 			continue
@@ -357,7 +357,7 @@
 	if !c.allowAction(now, "parks") {
 		return
 	}
-	for t := range c.State().Queued() {
+	for t := range c.State().QueuedTasks() {
 		if now.Sub(t.Submitted) < parkAfter {
 			continue
 		}
@@ -399,7 +399,7 @@
 		return
 	}
 	c.lastSnapshot = now
-	if c.appender.Settled(c.snapshotSequence) { // a second waiting snapshot would only lengthen the backlog
+	if c.appender.IsSettled(c.snapshotSequence) { // a second waiting snapshot would only lengthen the backlog
 		c.appendSnapshot()
 	}
 }
@@ -419,7 +419,7 @@
 // now. A proposal made before is due again after reproposeInterval, and only
 // when no own records wait to be read back.
 func (c *Controller) allowProposal(now time.Time, key string) bool {
-	if _, ok := c.proposedAt[key]; ok && c.appender.Waiting() > 0 {
+	if _, ok := c.proposedAt[key]; ok && c.appender.PendingCount() > 0 {
 		return false
 	}
 	return c.allowAction(now, key)
--- a/controller/task.go
+++ b/controller/task.go
@@ -432,7 +432,7 @@
 // longer names.
 func (c *Controller) cancelUndeclared(declared map[string]bool) {
 	var undeclared []string
-	for t := range c.State().Declared() {
+	for t := range c.State().DeclaredTasks() {
 		if !t.Cancelling && !declared[t.ID] {
 			undeclared = append(undeclared, t.ID)
 		}
--- a/controller/worker.go
+++ b/controller/worker.go
@@ -103,7 +103,7 @@
 // handleListed updates the members and workers from the instance list.
 func (c *Controller) handleListed(now time.Time, instances []provider.Instance) {
 	c.instances = instances
-	c.members.Listed(now, instances)
+	c.members.HandleList(now, instances)
 	for _, w := range c.workers {
 		w.listed = false
 	}
@@ -191,7 +191,7 @@
 		c.reacquire(now, w)
 		return
 	}
-	request, ok := c.leases.RenewRequest(now, w.id, c.follower.Tail())
+	request, ok := c.leases.RenewRequest(now, w.id, c.follower.TailReadAt())
 	if !ok {
 		return
 	}
@@ -495,7 +495,7 @@
 			continue
 		}
 		taskEnd := w.lastExtension.Add(c.taskEndBound())
-		if now.Before(taskEnd) || c.follower.Tail().Before(taskEnd) {
+		if now.Before(taskEnd) || c.follower.TailReadAt().Before(taskEnd) {
 			continue
 		}
 		c.logEvent(Warn, "worker unreachable", "worker", w.id, "tasks", len(w.tasks))
@@ -527,7 +527,7 @@
 	if w.unansweredRenewals >= maxUnansweredRenewals {
 		return true
 	}
-	return w.phase == adopted && now.Sub(c.follower.Tail()) > c.timing.MaxIsolation
+	return w.phase == adopted && now.Sub(c.follower.TailReadAt()) > c.timing.MaxIsolation
 }
 
 // reacquire acquires the lease under a new epoch, which fences every call in
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -108,7 +108,7 @@
 	case controller.Send:
 		d.send(a)
 	case controller.Link:
-		d.mesh.Set(a.Peers)
+		d.mesh.SetPeers(a.Peers)
 	case controller.Publish:
 		d.gateway.Publish(a.Table)
 	case controller.Answer:
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -156,7 +156,7 @@
 			AvailabilityZone: d.self.AvailabilityZone,
 			Incarnation:      d.self.Incarnation,
 		}),
-		peer.WithSilence(missed*beat, missed*member.RemoteFactor*beat),
+		peer.WithSilenceTimeouts(missed*beat, missed*member.RemoteHeartbeatFactor*beat),
 	)
 }
 
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -3,7 +3,7 @@
 //
 // Usage:
 //
-//	applied := f.Feed(now, sentAt, page)
+//	applied := f.ApplyPage(now, sentAt, page)
 //	for _, a := range applied { ... }
 //	if f.Ready() { state := f.State() }
 //	from := f.Next() // offset of the next read
@@ -12,7 +12,7 @@
 // a snapshot record with all records after the snapshot's state still available.
 // If there is no such snapshot, a recovery snapshot takes effect at every
 // reader, unless an instance that has the state writes a regular one within
-// Grace.
+// RecoveryGrace.
 package follower
 
 import (
@@ -23,9 +23,9 @@
 	"github.com/dogwoodladder/dogwoodladder/zone"
 )
 
-// Grace is the time within which a regular snapshot overrules a recovery
+// RecoveryGrace is the time within which a regular snapshot overrules a recovery
 // snapshot, measured by the timestamps of the log service.
-const Grace = 30 * time.Second
+const RecoveryGrace = 30 * time.Second
 
 // Applied is a record that was applied, with its outcome.
 type Applied struct {
@@ -73,36 +73,36 @@
 	return f.next
 }
 
-// Tail returns when the newest read that reached the tail was sent. The state
-// includes everything that the log had at that time.
-func (f *Follower) Tail() time.Time {
+// TailReadAt returns when the newest read that reached the tail was sent. The
+// state includes everything that the log had at that time.
+func (f *Follower) TailReadAt() time.Time {
 	return f.tailReadAt
 }
 
-// Newer returns the version of a record that this program is too old to apply,
-// or zero.
+// NewerVersion returns the version of a record that this program is too old to
+// apply, or zero.
 //
 // During a rolling upgrade a newer program may write a record whose rules this
 // one doesn't know. Skipping it would give a state that differs from that of the
 // others, and two instances could both consider themselves the owner of a task.
 // So the follower stops there: the instance no longer claims tasks or extends
 // leases, and its workers move to others.
-func (f *Follower) Newer() uint {
+func (f *Follower) NewerVersion() uint {
 	return f.newerVersion
 }
 
-// Damaged returns how many records could not be decoded.
-func (f *Follower) Damaged() uint64 {
+// DamagedCount returns how many records could not be decoded.
+func (f *Follower) DamagedCount() uint64 {
 	return f.damaged
 }
 
-// Gaps returns the number of times the next offset had expired.
-func (f *Follower) Gaps() uint64 {
+// GapCount returns the number of times the next offset had expired.
+func (f *Follower) GapCount() uint64 {
 	return f.gaps
 }
 
-// Feed applies a page whose read was sent at sentAt.
-func (f *Follower) Feed(now, sentAt time.Time, page provider.Page) []Applied {
+// ApplyPage applies a page whose read was sent at sentAt.
+func (f *Follower) ApplyPage(now, sentAt time.Time, page provider.Page) []Applied {
 	if f.newerVersion != 0 {
 		return nil
 	}
@@ -191,8 +191,8 @@
 // An instance that lost the state may write a recovery snapshot while another
 // one still has it, and the two would decide from different states. An instance
 // that has the state writes a regular snapshot, which overrules the recovery
-// snapshot if it comes within Grace. Otherwise the first recovery snapshot takes
-// effect at every reader, even if that reader has a state.
+// snapshot if it comes within RecoveryGrace. Otherwise the first recovery
+// snapshot takes effect at every reader, even if that reader has a state.
 func (f *Follower) trackRecovery(e provider.Entry, r record.Record, applied *[]Applied) {
 	switch {
 	case f.recovery == nil && r.Snapshot != nil && r.Snapshot.Recovery:
@@ -200,7 +200,7 @@
 	case f.recovery == nil:
 	case r.Snapshot != nil && !r.Snapshot.Recovery:
 		f.recovery = nil
-	case e.Time.Sub(f.recovery.at) >= Grace:
+	case e.Time.Sub(f.recovery.at) >= RecoveryGrace:
 		f.applyRecovery(applied)
 	default:
 		f.recovery.entries = append(f.recovery.entries, e)
@@ -222,10 +222,10 @@
 	f.replay(v.entries, v.offset, applied)
 }
 
-// Contested reports whether a recovery snapshot was read that can still be
+// RecoveryPending reports whether a recovery snapshot was read that can still be
 // overruled. Instances that have a state then write a regular snapshot; the
 // others write markers, which advance the time of the stream.
-func (f *Follower) Contested() bool {
+func (f *Follower) RecoveryPending() bool {
 	return f.recovery != nil
 }
 
@@ -279,9 +279,10 @@
 	}
 }
 
-// Lost reports whether the tail was reached without a state to start from, and
-// returns the state from before the gap if there is one. An instance that has
-// one writes it as a recovery snapshot that covers the offsets up to Next()-1.
-func (f *Follower) Lost() (prior *zone.State, lost bool) {
+// StateLost reports whether the tail was reached without a state to start from,
+// and returns the state from before the gap if there is one. An instance that
+// has one writes it as a recovery snapshot that covers the offsets up to
+// Next()-1.
+func (f *Follower) StateLost() (prior *zone.State, lost bool) {
 	return f.stateBeforeGap, f.noState
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -73,7 +73,7 @@
 // catchUp reads until the tail.
 func (s *stream) catchUp(f *follower.Follower, oldest uint64, limit int) {
 	for range len(s.entries) + 2 {
-		f.Feed(start, start, s.page(f.Next(), oldest, limit))
+		f.ApplyPage(start, start, s.page(f.Next(), oldest, limit))
 	}
 }
 
@@ -105,7 +105,7 @@
 			f := newFollower()
 			s.catchUp(f, oldest, limit)
 			if !f.Ready() {
-				_, lost := f.Lost()
+				_, lost := f.StateLost()
 				is.True(lost) // no snapshot is left
 				continue
 			}
@@ -133,10 +133,10 @@
 	}
 	s.snapshot()
 	s.submit()
-	f.Feed(start, start, s.page(f.Next(), 8, 1))
+	f.ApplyPage(start, start, s.page(f.Next(), 8, 1))
 	is.Equal(f.State(), nil)
 	is.True(!f.Ready()) // nothing is decided from the old state
-	is.Equal(f.Gaps(), uint64(1))
+	is.Equal(f.GapCount(), uint64(1))
 	s.catchUp(f, 8, 100)
 	is.True(f.Ready())
 	is.Equal(encoded(t, f.State()), encoded(t, s.state))
@@ -173,7 +173,7 @@
 	late := newFollower()
 	s.catchUp(late, 6, 1)
 	is.True(!late.Ready()) // it may still be overruled
-	s.entries = append(s.entries, s.later(t, follower.Grace))
+	s.entries = append(s.entries, s.later(t, follower.RecoveryGrace))
 	for _, f := range []*follower.Follower{late, full, newFollower()} {
 		s.catchUp(f, 6, 1)
 		is.True(f.Ready())
@@ -200,7 +200,7 @@
 	is := is.New(t)
 	s := recoveryStream(t)
 	s.snapshot()
-	s.entries = append(s.entries, s.later(t, follower.Grace))
+	s.entries = append(s.entries, s.later(t, follower.RecoveryGrace))
 	s.state.Apply(9, s.entries[9].Time, mustDecode(t, s.entries[9].Data))
 	for _, oldest := range []uint64{0, 6} {
 		f := newFollower()
@@ -223,7 +223,7 @@
 	f := newFollower()
 	s.catchUp(f, 0, 100)
 	is.True(!f.Ready())
-	is.Equal(f.Newer(), uint(record.Version+1))
+	is.Equal(f.NewerVersion(), uint(record.Version+1))
 	is.Equal(f.Next(), uint64(1)) // the offset of the newer record
 }
 
@@ -236,7 +236,7 @@
 	s.entries = append(s.entries, provider.Entry{Offset: 1, Time: start, Data: []byte("?")})
 	f := newFollower()
 	s.catchUp(f, 0, 100)
-	is.Equal(f.Damaged(), uint64(1))
+	is.Equal(f.DamagedCount(), uint64(1))
 	is.Equal(f.Next(), uint64(2))
 }
 
--- a/member/doc.go
+++ b/member/doc.go
@@ -7,15 +7,15 @@
 // Usage:
 //
 //	table := member.New(member.Self{ID: id, AvailabilityZone: zone, Incarnation: run})
-//	table.Listed(now, instances)
-//	table.Heard(now, heartbeat)
+//	table.HandleList(now, instances)
+//	table.HandleHeartbeat(now, heartbeat)
 //	for _, change := range table.Tick(now) { ... }
 //	owner, _ := rendezvous.Pick(worker, table.Live(zone))
 //	for _, id := range table.Due(now, revision) { send(id, table.Heartbeat(...)) }
 //
 // The states and transitions of a member are in member.yaml. A silent member
 // is suspected and keeps its workers meanwhile. After it has been declared dead
-// it must send heartbeats without a gap for the hysteresis before it owns
+// it must send heartbeats without a gap for the join delay before it owns
 // workers again, longer each time it dies soon after.
 //
 // The package does no I/O and reads no clock. Its memory is bounded by
--- a/member/evidence.go
+++ b/member/evidence.go
@@ -6,11 +6,11 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Listed handles the platform's instance list. The members of the first list
+// HandleList handles the platform's instance list. The members of the first list
 // count as owners until the list grace ends, so that a starting instance doesn't
 // consider itself the only one. Later lists only add instances to the table:
 // they neither revive a dead one nor make a new one own workers.
-func (t *Table) Listed(now time.Time, list []provider.Instance) {
+func (t *Table) HandleList(now time.Time, list []provider.Instance) {
 	listed := make(map[string]bool, len(list))
 	for _, instance := range list {
 		if instance.Role != provider.RoleEntry || instance.ID == t.self.ID || !isValidName(instance.ID) {
@@ -58,8 +58,8 @@
 	e.confirmDeadline = now.Add(t.listGrace)
 }
 
-// Heard handles a heartbeat.
-func (t *Table) Heard(now time.Time, h Heartbeat) Outcome {
+// HandleHeartbeat handles a heartbeat.
+func (t *Table) HandleHeartbeat(now time.Time, h Heartbeat) Outcome {
 	if h.ID == t.self.ID {
 		return t.handleOwn(h)
 	}
@@ -139,10 +139,10 @@
 	t.me().transition(now, eventHeard)
 }
 
-// Lost handles a refused connection: nobody listens at the member's address.
-// The member becomes a suspect at once, and is declared dead unless a heartbeat
-// arrives before the confirmation ends.
-func (t *Table) Lost(now time.Time, id string) {
+// HandleRefused handles a refused connection: nobody listens at the member's
+// address. The member becomes a suspect at once, and is declared dead unless a
+// heartbeat arrives before the confirmation ends.
+func (t *Table) HandleRefused(now time.Time, id string) {
 	e, known := t.members[id]
 	if !known || id == t.self.ID {
 		return
--- a/member/member.go
+++ b/member/member.go
@@ -83,10 +83,10 @@
 // Change is a member's transition from the state last returned by Tick to
 // another state or incarnation.
 type Change struct {
-	ID               string
-	AvailabilityZone string
-	Incarnation      uint64
-	Before           uint64 // incarnation last returned; smaller after a restart
-	From             State
-	To               State
+	ID                  string
+	AvailabilityZone    string
+	Incarnation         uint64
+	PreviousIncarnation uint64 // incarnation last returned; smaller after a restart
+	From                State
+	To                  State
 }
--- a/member/option.go
+++ b/member/option.go
@@ -8,23 +8,23 @@
 	defaultHeartbeat    = time.Second
 	defaultSuspicion    = 3 * time.Second
 	defaultConfirmation = 2 * time.Second
-	defaultHysteresis   = 5 * time.Second
+	defaultJoinDelay    = 5 * time.Second
 	defaultListGrace    = 5 * time.Second
 	defaultRetention    = 10 * time.Minute
 	defaultLimit        = 256
 )
 
-// RemoteFactor is the default ratio of the heartbeat interval to other
+// RemoteHeartbeatFactor is the default ratio of the heartbeat interval to other
 // availability zones to that within the zone.
-const RemoteFactor = 10
+const RemoteHeartbeatFactor = 10
 
 // Bounds that are not settings.
 const (
 	maxFree      = 1024 // services in one heartbeat
 	maxName      = 128  // bytes of an ID, availability zone or address
-	maxDoublings = 3    // of the hysteresis after repeated deaths
+	maxDoublings = 3    // of the join delay after repeated deaths
 
-	resetFactor = 10 // a member's deaths are reset after it was live for this many times the hysteresis
+	resetFactor = 10 // a member's deaths are reset after it was live for this many times the join delay
 )
 
 type settings struct {
@@ -32,7 +32,7 @@
 	remoteHeartbeat time.Duration
 	suspicion       time.Duration
 	confirmation    time.Duration
-	hysteresis      time.Duration
+	baseJoinDelay   time.Duration
 	listGrace       time.Duration
 	retention       time.Duration
 	limit           int
@@ -64,11 +64,11 @@
 	return func(s *settings) { s.confirmation = d }
 }
 
-// WithHysteresis sets how long a member must send heartbeats without a gap
+// WithJoinDelay sets how long a member must send heartbeats without a gap
 // before it owns workers. It doubles, at most three times, with each death that
 // soon follows another.
-func WithHysteresis(d time.Duration) Option {
-	return func(s *settings) { s.hysteresis = d }
+func WithJoinDelay(d time.Duration) Option {
+	return func(s *settings) { s.baseJoinDelay = d }
 }
 
 // WithListGrace sets how long members of the first list count as owners without
@@ -90,19 +90,19 @@
 
 func newSettings(opts []Option) settings {
 	s := settings{
-		heartbeat:    defaultHeartbeat,
-		suspicion:    defaultSuspicion,
-		confirmation: defaultConfirmation,
-		hysteresis:   defaultHysteresis,
-		listGrace:    defaultListGrace,
-		retention:    defaultRetention,
-		limit:        defaultLimit,
+		heartbeat:     defaultHeartbeat,
+		suspicion:     defaultSuspicion,
+		confirmation:  defaultConfirmation,
+		baseJoinDelay: defaultJoinDelay,
+		listGrace:     defaultListGrace,
+		retention:     defaultRetention,
+		limit:         defaultLimit,
 	}
 	for _, opt := range opts {
 		opt(&s)
 	}
 	if s.remoteHeartbeat <= 0 {
-		s.remoteHeartbeat = RemoteFactor * s.heartbeat
+		s.remoteHeartbeat = RemoteHeartbeatFactor * s.heartbeat
 	}
 	return s
 }
--- a/member/table.go
+++ b/member/table.go
@@ -47,10 +47,10 @@
 	return ids[0]
 }
 
-// Missing returns the sorted IDs of members that haven't announced a
+// MembersBehind returns the sorted IDs of members that haven't announced a
 // configuration of at least revision. Members that left are omitted. A dead one
 // is included as long as it is listed: it may only be unreachable.
-func (t *Table) Missing(revision uint64) []string {
+func (t *Table) MembersBehind(revision uint64) []string {
 	return t.collect(func(e *entry) bool {
 		gone := e.State == Left || e.State == Dead && !e.Listed
 		return e.ID != t.self.ID && !gone && e.Revision < revision
@@ -74,8 +74,8 @@
 	return t.me().State == Isolated
 }
 
-// Leave marks the instance itself as leaving.
-func (t *Table) Leave() {
+// BeginLeave marks the instance itself as leaving.
+func (t *Table) BeginLeave() {
 	t.me().transition(t.lastTick, eventLeaving)
 }
 
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -43,7 +43,7 @@
 		v.now = v.now.Add(step)
 		if v.now.Nanosecond() == 0 {
 			for _, id := range heard {
-				v.Heard(v.now, v.heartbeat(id))
+				v.HandleHeartbeat(v.now, v.heartbeat(id))
 			}
 		}
 		v.changes = append(v.changes, v.Tick(v.now)...)
@@ -55,7 +55,7 @@
 	for _, id := range ids {
 		list = append(list, provider.Instance{ID: id, Role: provider.RoleEntry, AvailabilityZone: zone, Address: id + ":1"})
 	}
-	v.Listed(v.now, list)
+	v.HandleList(v.now, list)
 }
 
 func (v *testTable) state(id string) member.State {
@@ -116,7 +116,7 @@
 			v := newTestTable()
 			v.list("n")
 			v.advance(2*time.Second, "n")
-			v.Lost(v.now, "n")
+			v.HandleRefused(v.now, "n")
 			is.Equal(v.state("n"), member.Suspect)
 			if c.removed {
 				v.list()
@@ -129,7 +129,7 @@
 
 // A link that alternates between up and down for ten minutes must not move
 // workers back and forth. That happens if a single heartbeat makes n an owner
-// again, or if the hysteresis doesn't grow with repeated deaths.
+// again, or if the join delay doesn't grow with repeated deaths.
 func TestFlappingLink(t *testing.T) {
 	for _, c := range []struct {
 		up, down time.Duration
@@ -186,7 +186,7 @@
 
 	moved := v.heartbeat("o")
 	moved.Address = "o:2"
-	v.Heard(v.now, moved)
+	v.HandleHeartbeat(v.now, moved)
 	v.list("n", "o", "p") // still with o:1
 	is.Equal(v.Members()[2].Address, "o:2")
 	is.Equal(v.state("p"), member.Joining)
@@ -222,16 +222,16 @@
 	late := v.heartbeat("n")
 	late.Sequence += 1000
 	repeated := v.heartbeat("n")
-	is.Equal(v.Heard(v.now, repeated), member.Accepted)
-	is.Equal(v.Heard(v.now, repeated), member.Duplicate)
+	is.Equal(v.HandleHeartbeat(v.now, repeated), member.Accepted)
+	is.Equal(v.HandleHeartbeat(v.now, repeated), member.Duplicate)
 
 	v.incarnations["n"] = 2
 	v.changes = nil
-	is.Equal(v.Heard(v.now, v.heartbeat("n")), member.Restarted)
-	is.Equal(v.Heard(v.now, late), member.Outdated)
+	is.Equal(v.HandleHeartbeat(v.now, v.heartbeat("n")), member.Restarted)
+	is.Equal(v.HandleHeartbeat(v.now, late), member.Outdated)
 	v.advance(step)
 	is.Equal(v.changes, []member.Change{{
-		ID: "n", AvailabilityZone: zone, Incarnation: 2, Before: 1, From: member.Live, To: member.Joining,
+		ID: "n", AvailabilityZone: zone, Incarnation: 2, PreviousIncarnation: 1, From: member.Live, To: member.Joining,
 	}})
 	is.Equal(v.owners(), "[m]")
 	v.advance(6*time.Second, "n")
@@ -243,7 +243,7 @@
 
 	newer := v.heartbeat("m")
 	newer.Incarnation = 2
-	is.Equal(v.Heard(v.now, newer), member.Replaced)
+	is.Equal(v.HandleHeartbeat(v.now, newer), member.Replaced)
 }
 
 // m is paused for a minute and reads the heartbeats that arrived meanwhile only
@@ -262,7 +262,7 @@
 	v.advance(step)
 	is.Equal(len(v.changes), 0)
 	v.advance(time.Second, "n", "p")
-	is.Equal(v.state("p"), member.Joining) // the pause doesn't count towards the hysteresis
+	is.Equal(v.state("p"), member.Joining) // the pause doesn't count towards the join delay
 	v.advance(4*time.Second, "n")
 	is.Equal(v.state("n"), member.Live)
 	is.Equal(v.state("o"), member.Suspect) // silent since the pause
@@ -295,18 +295,18 @@
 	v.advance(2*time.Second, "n")
 	leaving := v.heartbeat("n")
 	leaving.Leaving = true
-	v.Heard(v.now, leaving)
+	v.HandleHeartbeat(v.now, leaving)
 	is.Equal(v.owners(), "[m]")
 	v.advance(2*time.Second, "n") // leaving can't be undone within an incarnation
 	is.Equal(v.state("n"), member.Leaving)
-	v.Lost(v.now, "n")
+	v.HandleRefused(v.now, "n")
 	is.Equal(v.state("n"), member.Left)
-	is.Equal(v.Missing(1), []string(nil))
+	is.Equal(v.MembersBehind(1), []string(nil))
 
 	v.advance(7*time.Second, "o")
 	v.Due(v.now, 0)
 	is.Equal(v.Due(v.now, 0), []string(nil))
-	v.Leave()
+	v.BeginLeave()
 	is.Equal(v.owners(), "[o]")
 	is.Equal(v.Due(v.now, 0), []string{"o"}) // told at once
 	is.True(v.Table.Heartbeat("", 0, "", nil).Leaving)
@@ -323,14 +323,14 @@
 	for id, revision := range map[string]uint64{"n": 7, "o": 8} {
 		h := v.heartbeat(id)
 		h.Revision = revision
-		v.Heard(v.now, h)
+		v.HandleHeartbeat(v.now, h)
 	}
-	is.Equal(v.Missing(7), []string{"p", "q"})
-	is.Equal(v.Missing(8), []string{"n", "p", "q"})
+	is.Equal(v.MembersBehind(7), []string{"p", "q"})
+	is.Equal(v.MembersBehind(8), []string{"n", "p", "q"})
 	v.advance(6*time.Second, "n", "o")
-	is.Equal(v.Missing(7), []string{"p", "q"})
+	is.Equal(v.MembersBehind(7), []string{"p", "q"})
 	v.list("n", "o")
-	is.Equal(v.Missing(7), []string(nil)) // dead and off the list
+	is.Equal(v.MembersBehind(7), []string(nil)) // dead and off the list
 
 	v.Due(v.now, 7)
 	is.Equal(v.Due(v.now, 7), []string(nil))
@@ -402,7 +402,7 @@
 }
 
 func (f *fleet) replace(i int) {
-	f.tables[i].Leave()
+	f.tables[i].BeginLeave()
 	f.advance(2 * time.Second)
 	f.start(i)
 }
@@ -433,7 +433,7 @@
 			f.refreshList()
 		}
 		for i, table := range f.tables {
-			table.Listed(f.now, f.list)
+			table.HandleList(f.now, f.list)
 			f.exchange(i)
 			table.Tick(f.now)
 		}
@@ -445,7 +445,7 @@
 		h := f.tables[from].Heartbeat("", 0, "", nil)
 		for i, s := range f.names {
 			if s.ID == to {
-				f.tables[i].Heard(f.now, h)
+				f.tables[i].HandleHeartbeat(f.now, h)
 			}
 		}
 	}
--- a/member/tick.go
+++ b/member/tick.go
@@ -84,15 +84,15 @@
 // joinDelay returns how long a joining member must send heartbeats before it
 // becomes live.
 //
-// A link that works for slightly longer than the hysteresis and then fails
-// again would move the same workers in each cycle. So the hysteresis doubles
+// A link that works for slightly longer than the join delay and then fails
+// again would move the same workers in each cycle. So the join delay doubles
 // with each death that soon follows another.
 func (t *Table) joinDelay(e *entry) time.Duration {
-	return t.hysteresis << min(max(e.Deaths-1, 0), maxDoublings)
+	return t.baseJoinDelay << min(max(e.Deaths-1, 0), maxDoublings)
 }
 
 func (t *Table) resetDeaths(now time.Time, e *entry) {
-	if now.Sub(e.Since) >= resetFactor*t.hysteresis {
+	if now.Sub(e.Since) >= resetFactor*t.baseJoinDelay {
 		e.Deaths = 0
 	}
 }
@@ -120,12 +120,12 @@
 	for _, id := range t.collect(func(e *entry) bool { return e.State != e.reportedState || e.Incarnation != e.reportedIncarnation }) {
 		e := t.members[id]
 		changes = append(changes, Change{
-			ID:               e.ID,
-			AvailabilityZone: e.AvailabilityZone,
-			Incarnation:      e.Incarnation,
-			Before:           e.reportedIncarnation,
-			From:             e.reportedState,
-			To:               e.State,
+			ID:                  e.ID,
+			AvailabilityZone:    e.AvailabilityZone,
+			Incarnation:         e.Incarnation,
+			PreviousIncarnation: e.reportedIncarnation,
+			From:                e.reportedState,
+			To:                  e.State,
 		})
 		e.reportedState = e.State
 		e.reportedIncarnation = e.Incarnation
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -6,7 +6,7 @@
 //	mesh := peer.New(peer.WithSelf(self))
 //	mux.Handle(peer.Path, mesh) // on the peer listener
 //	t.Go(func() error { return mesh.Run(t.Context(nil)) })
-//	mesh.Set([]peer.Peer{{ID: id, Address: address, AvailabilityZone: zone}})
+//	mesh.SetPeers([]peer.Peer{{ID: id, Address: address, AvailabilityZone: zone}})
 //	err := mesh.Send(id, peer.Heartbeat(table.Heartbeat(...)))
 //	for r := range mesh.Received() {
 //		switch m := r.Message.(type) {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -24,7 +24,7 @@
 	settings
 	client       *http.Client
 	received     chan Received
-	peersChanged chan struct{} // wakes Run after Set
+	peersChanged chan struct{} // wakes Run after SetPeers
 
 	mu      sync.Mutex
 	tomb    *tomb.Tomb // nil before Run
@@ -61,7 +61,7 @@
 	return err
 }
 
-// manage starts a dialing goroutine for each peer that Set adds.
+// manage starts a dialing goroutine for each peer that SetPeers adds.
 func (m *Mesh) manage(t *tomb.Tomb) error {
 	for {
 		m.startDialing(t)
@@ -86,9 +86,9 @@
 	}
 }
 
-// Set replaces the set of peers to link with. Links to peers that are no longer
-// in the set are closed.
-func (m *Mesh) Set(peers []Peer) {
+// SetPeers replaces the set of peers to link with. Links to peers that are no
+// longer in the set are closed.
+func (m *Mesh) SetPeers(peers []Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unlist(peers)
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -24,8 +24,8 @@
 func linkedNodes(t *testing.T, a, b member.Self, opts ...peer.Option) (*network.Network, *node, *node) {
 	n := newNetwork(t)
 	x, y := startNode(t, n, a, "a:1", opts...), startNode(t, n, b, "b:1", opts...)
-	x.Set([]peer.Peer{x.peer(), y.peer()})
-	y.Set([]peer.Peer{x.peer(), y.peer()})
+	x.SetPeers([]peer.Peer{x.peer(), y.peer()})
+	y.SetPeers([]peer.Peer{x.peer(), y.peer()})
 	exchangeHeartbeats(time.Second, time.Second, x, y)
 	return n, x, y
 }
@@ -135,12 +135,12 @@
 		is := is.New(t)
 		n := newNetwork(t)
 		a, b := startNode(t, n, selfA, "a:1"), startNode(t, n, selfB, "b:1")
-		b.Set([]peer.Peer{a.peer()})
+		b.SetPeers([]peer.Peer{a.peer()})
 		exchangeHeartbeats(4*time.Second, time.Second, a, b)
 		is.True(b.Links()[0].Up && b.Links()[0].Dialed)
 		is.True(count[peer.Heartbeat](a.collect()) > 0)
 		is.NoErr(a.Send("b", peer.Handover{Worker: "w"}))
-		a.Set([]peer.Peer{b.peer()})
+		a.SetPeers([]peer.Peer{b.peer()})
 		exchangeHeartbeats(time.Minute, time.Second, a, b)
 		is.Equal(count[peer.Unlinked](a.collect()), 0) // the existing connection is kept
 	})
@@ -152,10 +152,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t, network.WithLatency(20*time.Millisecond))
-		noDelay := []peer.Option{peer.WithPatience(0), peer.WithBackoff(10*time.Millisecond, 10*time.Millisecond)}
+		noDelay := []peer.Option{peer.WithDialDelay(0), peer.WithBackoff(10*time.Millisecond, 10*time.Millisecond)}
 		a, b := startNode(t, n, selfA, "a:1", noDelay...), startNode(t, n, selfB, "b:1", noDelay...)
-		a.Set([]peer.Peer{b.peer()})
-		b.Set([]peer.Peer{a.peer()})
+		a.SetPeers([]peer.Peer{b.peer()})
+		b.SetPeers([]peer.Peer{a.peer()})
 		for range 10 {
 			exchangeHeartbeats(10*time.Second, time.Second, a, b)
 			is.True(count[peer.Linked](a.collect()) <= 2)
@@ -210,11 +210,11 @@
 func TestRestartedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := linkedNodes(t, selfA, selfB, peer.WithSilence(time.Hour, time.Hour))
+		n, a, b := linkedNodes(t, selfA, selfB, peer.WithSilenceTimeouts(time.Hour, time.Hour))
 		n.Silence()
 		b.stop()
 		again := startNode(t, n, member.Self{ID: "b", AvailabilityZone: "z", Incarnation: 2}, "b:1")
-		again.Set([]peer.Peer{a.peer()})
+		again.SetPeers([]peer.Peer{a.peer()})
 		a.collect()
 		exchangeHeartbeats(5*time.Second, time.Second, a, again)
 		got := a.collect()
@@ -232,9 +232,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork(t)
-		a := startNode(t, n, selfA, "a:1", peer.WithSilence(time.Minute, time.Minute))
+		a := startNode(t, n, selfA, "a:1", peer.WithSilenceTimeouts(time.Minute, time.Minute))
 		b := startNode(t, n, selfB, "b:1")
-		b.Set([]peer.Peer{a.peer()})
+		b.SetPeers([]peer.Peer{a.peer()})
 		exchangeHeartbeats(5*time.Second, time.Second, a, b)
 		is.True(b.Links()[0].Up)
 		n.Silence()
@@ -317,13 +317,13 @@
 		for i := range 300 {
 			many = append(many, peer.Peer{ID: fmt.Sprint("b", i), Address: "nowhere:1"})
 		}
-		a.Set(many)
-		b.Set(nil)
+		a.SetPeers(many)
+		b.SetPeers(nil)
 		synctest.Wait()
-		a.Set(many) // the slot of b is free now
+		a.SetPeers(many) // the slot of b is free now
 		is.Equal(len(a.Links()), 256)
 		is.Equal(len(b.Links()), 0)
-		a.Set(nil)
+		a.SetPeers(nil)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		is.Equal(len(a.Links()), 0)
--- a/peer/option.go
+++ b/peer/option.go
@@ -49,10 +49,11 @@
 	return func(s *settings) { s.self = self }
 }
 
-// WithSilence sets the time without a received frame after which a connection
-// is replaced, within the availability zone and across zones. On any connection
-// a message other than a routine heartbeat must be confirmed within the former.
-func WithSilence(zone, remote time.Duration) Option {
+// WithSilenceTimeouts sets the time without a received frame after which a
+// connection is replaced, within the availability zone and across zones. On any
+// connection a message other than a routine heartbeat must be confirmed within
+// the former.
+func WithSilenceTimeouts(zone, remote time.Duration) Option {
 	return func(s *settings) {
 		s.silenceTimeout = zone
 		s.remoteSilenceTimeout = remote
@@ -67,8 +68,8 @@
 	}
 }
 
-// WithPatience sets how long the higher ID waits for the lower one to dial.
-func WithPatience(d time.Duration) Option {
+// WithDialDelay sets how long the higher ID waits for the lower one to dial.
+func WithDialDelay(d time.Duration) Option {
 	return func(s *settings) { s.dialDelay = d }
 }
 
--- a/revision/history.go
+++ b/revision/history.go
@@ -7,7 +7,7 @@
 //	history := revision.New()
 //	page, err := log.Read(ctx, stream, history.Next(), limit, wait)
 //	if fault.Is(err, fault.Expired) {
-//		history.Restart(page.Oldest)
+//		history.RestartAt(page.Oldest)
 //	}
 //	for _, entry := range page.Entries {
 //		outcome := history.Apply(entry.Offset, entry.Data)
@@ -43,9 +43,9 @@
 	inForce        Revision // in force in the stream before next, if known
 	known          bool
 	noPublishSince uint64 // offset from which on no Publish that may be valid was read
-	anchor         uint64
+	oldestNeeded   uint64
 	current        Revision // in force at this instance
-	clashes        uint64
+	conflicts      uint64
 }
 
 // New returns the history of a stream from its first record on.
@@ -74,25 +74,25 @@
 	return h.known
 }
 
-// Anchor returns the latest offset at which a late joiner can start to read. A
-// new Restate must be written before the log drops it.
-func (h *History) Anchor() uint64 {
-	return h.anchor
+// OldestNeeded returns the latest offset at which a late joiner can start to
+// read. A new Restate must be written before the log drops it.
+func (h *History) OldestNeeded() uint64 {
+	return h.oldestNeeded
 }
 
-// Clashes returns how often one revision number was seen with two contents. A
-// value above zero indicates a defect.
-func (h *History) Clashes() uint64 {
-	return h.clashes
+// ConflictCount returns how often one revision number was seen with two
+// contents. A value above zero indicates a defect.
+func (h *History) ConflictCount() uint64 {
+	return h.conflicts
 }
 
-// Restart continues at the oldest offset that the log still keeps.
+// RestartAt continues at the oldest offset that the log still keeps.
 //
 // The records in between were never read. A Publish among them may have replaced
 // the revision known here; continuing would accept a later Publish with the same
 // base as valid, and two instances would hold different contents under one
 // number. So the revision in force is unknown until a Restate is read.
-func (h *History) Restart(oldest uint64) {
+func (h *History) RestartAt(oldest uint64) {
 	if oldest <= h.next {
 		return
 	}
@@ -106,7 +106,7 @@
 	if offset < h.next {
 		return h.outcome(Ignored, offset)
 	}
-	h.Restart(offset)
+	h.RestartAt(offset)
 	h.next = offset + 1
 	record, err := Decode(data)
 	switch {
@@ -128,13 +128,13 @@
 // The revision of a peer can be late, damaged or outdated. Without checks it
 // could put an older configuration back in force and undo an accepted change. So
 // the number must grow and the content must match its digest. An equal number
-// with a different content is counted as a clash.
+// with a different content is counted as a conflict.
 func (h *History) Adopt(number, digest uint64, manifest []byte) bool {
 	if len(manifest) == 0 || len(manifest) > MaxManifest || xxhash.Sum64(manifest) != digest {
 		return false
 	}
 	if number == h.current.Number && digest != h.current.Digest {
-		h.clashes++
+		h.conflicts++
 	}
 	if number <= h.current.Number {
 		return false
@@ -225,11 +225,11 @@
 		Offset:   r.Offset,
 	}
 	if h.known && (revision.Number != h.inForce.Number || revision.Digest != h.inForce.Digest) {
-		h.clashes++
+		h.conflicts++
 		return h.outcome(Stale, offset)
 	}
 	h.setRevision(revision)
-	h.anchor = r.Next
+	h.oldestNeeded = r.Next
 	return h.outcome(Restated, offset)
 }
 
@@ -240,7 +240,7 @@
 	h.inForce = r
 	h.known = true
 	if r.Number == h.current.Number && r.Digest != h.current.Digest && r.Number > 0 {
-		h.clashes++
+		h.conflicts++
 	}
 	if r.Number >= h.current.Number {
 		h.current = r
@@ -254,9 +254,9 @@
 }
 
 func (h *History) outcome(kind Kind, offset uint64) Outcome {
-	winner := h.inForce
-	winner.Manifest = nil
-	return Outcome{Kind: kind, Offset: offset, Winner: winner}
+	inForce := h.inForce
+	inForce.Manifest = nil
+	return Outcome{Kind: kind, Offset: offset, InForce: inForce}
 }
 
 func newRevision(number, offset uint64, p *Publish) Revision {
--- a/revision/history_test.go
+++ b/revision/history_test.go
@@ -118,7 +118,7 @@
 		m.pending = append(m.pending[:i], m.pending[i+1:]...)
 	}
 	outcome := m.reference.Apply(uint64(len(m.entries)), data)
-	if key := outcome.Winner.Key; outcome.Kind == Published {
+	if key := outcome.InForce.Key; outcome.Kind == Published {
 		if m.published[key] {
 			t.Fatalf("record %s took effect twice", key)
 		}
@@ -130,7 +130,7 @@
 
 func (m *model) read(t *rapid.T, i int, reached map[Kind]int) {
 	h := m.instances[i]
-	h.Restart(m.oldest)
+	h.RestartAt(m.oldest)
 	if h.Next() > 0 && h.Next() > m.oldest && rapid.Bool().Draw(t, "again") {
 		reached[h.Apply(h.Next()-1, m.entries[h.Next()-1]).Kind]++
 	}
@@ -153,8 +153,8 @@
 			t.Fatalf("revision %d has two contents", r.Number)
 		}
 		m.contents[r.Number] = r.Digest
-		if h.Clashes() > 0 {
-			t.Fatalf("instance %d counted %d clashes", i, h.Clashes())
+		if h.ConflictCount() > 0 {
+			t.Fatalf("instance %d counted %d clashes", i, h.ConflictCount())
 		}
 		truth := m.truth[h.Next()]
 		if h.Known() && (h.inForce.Number != truth.Number || h.inForce.Digest != truth.Digest) {
@@ -204,9 +204,9 @@
 	is.True(h.Adopt(2, xxhash.Sum64(two), two))
 	is.True(!h.Adopt(1, xxhash.Sum64(other), other)) // older
 	is.True(!h.Adopt(3, xxhash.Sum64(two), other))   // damaged
-	is.Equal(h.Clashes(), uint64(0))
+	is.Equal(h.ConflictCount(), uint64(0))
 	is.True(!h.Adopt(2, xxhash.Sum64(other), other)) // diverging
-	is.Equal(h.Clashes(), uint64(1))
+	is.Equal(h.ConflictCount(), uint64(1))
 	is.Equal(h.Current().Manifest, two)
 }
 
--- a/revision/outcome.go
+++ b/revision/outcome.go
@@ -18,12 +18,12 @@
 	Unknown               // the revision in force isn't known yet, or the record is of a newer version
 )
 
-// Outcome is the effect of one record. Winner is the revision in force in the
+// Outcome is the effect of one record. InForce is the revision in force in the
 // stream after it, without its manifest; it is meaningless if Kind is Unknown.
 type Outcome struct {
-	Kind   Kind
-	Offset uint64
-	Winner Revision
+	Kind    Kind
+	Offset  uint64
+	InForce Revision
 }
 
 // String returns the outcome as a line for an operator.
@@ -32,5 +32,5 @@
 	if o.Kind == Unknown {
 		return text
 	}
-	return fmt.Sprintf("%s revision=%d author=%q published=%d", text, o.Winner.Number, o.Winner.Author, o.Winner.Offset)
+	return fmt.Sprintf("%s revision=%d author=%q published=%d", text, o.InForce.Number, o.InForce.Author, o.InForce.Offset)
 }
--- a/zone/listing.go
+++ b/zone/listing.go
@@ -8,9 +8,9 @@
 	"github.com/dogwoodladder/dogwoodladder/record"
 )
 
-// Owners returns the incarnations that aren't fenced and own a worker or an
-// escrowed task, sorted by ID and incarnation.
-func (s *State) Owners() iter.Seq[record.Writer] {
+// ActiveOwners returns the incarnations that aren't fenced and own a worker or
+// an escrowed task, sorted by ID and incarnation.
+func (s *State) ActiveOwners() iter.Seq[record.Writer] {
 	var owners []record.Writer
 	for _, i := range s.instances {
 		for _, r := range i.incarnations {
@@ -25,18 +25,18 @@
 	return slices.Values(owners)
 }
 
-// Active returns the tasks that haven't ended, sorted by ID.
-func (s *State) Active() iter.Seq[Task] {
+// LiveTasks returns the tasks that haven't ended, sorted by ID.
+func (s *State) LiveTasks() iter.Seq[Task] {
 	return s.tasksWhere(func(t Task) bool { return t.State != Done && t.State != Cancelled })
 }
 
-// Declared returns the declared tasks, ended ones included, sorted by ID.
-func (s *State) Declared() iter.Seq[Task] {
+// DeclaredTasks returns the declared tasks, ended ones included, sorted by ID.
+func (s *State) DeclaredTasks() iter.Seq[Task] {
 	return s.tasksWhere(func(t Task) bool { return t.Declared })
 }
 
-// Parked returns the parked tasks, sorted by ID.
-func (s *State) Parked() iter.Seq[Task] {
+// ParkedTasks returns the parked tasks, sorted by ID.
+func (s *State) ParkedTasks() iter.Seq[Task] {
 	return s.tasksWhere(func(t Task) bool { return t.State == Parked })
 }
 
--- a/zone/model_test.go
+++ b/zone/model_test.go
@@ -396,7 +396,7 @@
 func (p *process) claim() {
 	var ids []string
 	g := p.state.Group("g")
-	for task := range p.state.Queued() {
+	for task := range p.state.QueuedTasks() {
 		if len(ids) < 2 && g.Used.Add(unit).Fits(g.Limit) {
 			ids = append(ids, task.ID)
 		}
@@ -543,7 +543,7 @@
 			t.Fatalf("instance %s: %v, want %v", id, sum, used[id])
 		}
 	}
-	if bytes != s.bytes || len(slices.Collect(s.Queued())) != s.queue.length {
+	if bytes != s.bytes || len(slices.Collect(s.QueuedTasks())) != s.queue.length {
 		t.Fatalf("bytes %d, want %d", s.bytes, bytes)
 	}
 }
--- a/zone/session_test.go
+++ b/zone/session_test.go
@@ -76,7 +76,7 @@
 
 func queueOf(s *State) string {
 	var ids []string
-	for task := range s.Queued() {
+	for task := range s.QueuedTasks() {
 		ids = append(ids, task.ID)
 	}
 	return " queue=" + strings.Join(ids, ",")
--- a/zone/state.go
+++ b/zone/state.go
@@ -156,9 +156,9 @@
 	return s.view(t), true
 }
 
-// Queued returns the queued tasks in the order of their submission. A task
+// QueuedTasks returns the queued tasks in the order of their submission. A task
 // that is queued again keeps its position.
-func (s *State) Queued() iter.Seq[Task] {
+func (s *State) QueuedTasks() iter.Seq[Task] {
 	return s.views(&s.queue)
 }
 
