--- a/bench/batch/batch.go
+++ b/bench/batch/batch.go
@@ -130,16 +130,16 @@
 	const command = 5 * time.Second
 	t := setting.Default().Timing
 	return controller.Timing{
-		Heartbeat: t.Heartbeat,
-		Suspicion: t.Suspicion,
-		Lease:     t.Lease,
-		Task:      t.Task,
-		Drift:     t.Drift,
-		Isolation: t.Isolation,
-		Append:    t.Append,
-		Snapshot:  t.Snapshot,
-		Fence:     2 * t.Suspicion,
-		Command:   command,
+		HeartbeatInterval: t.HeartbeatInterval,
+		SuspicionTimeout:  t.SuspicionTimeout,
+		WorkerLease:       t.Lease,
+		TaskLease:         t.TaskLease,
+		MaxDrift:          t.MaxDrift,
+		MaxIsolation:      t.MaxIsolation,
+		AppendInterval:    t.AppendInterval,
+		SnapshotInterval:  t.SnapshotInterval,
+		FenceAfter:        2 * t.SuspicionTimeout,
+		CommandTimeout:    command,
 	}
 }
 
--- a/controller/service.go
+++ b/controller/service.go
@@ -220,7 +220,7 @@
 
 // syncReplicas updates the known replicas from the list of tasks that the
 // worker holds.
-func (c *Controller) syncReplicas(w *worker, tasks []provider.Running) {
+func (c *Controller) syncReplicas(w *worker, tasks []provider.TaskStatus) {
 	held := make(map[string]bool)
 	for _, t := range tasks {
 		name, ok := c.replicaService(w, t)
@@ -249,7 +249,7 @@
 	}
 }
 
-func (c *Controller) replicaService(w *worker, t provider.Running) (string, bool) {
+func (c *Controller) replicaService(w *worker, t provider.TaskStatus) (string, bool) {
 	if t.Kind != provider.KindService {
 		return "", false
 	}
@@ -309,7 +309,7 @@
 			Weight:     c.groupWeight(s.Group),
 			Timeout:    s.Timeout,
 			Idempotent: s.Idempotent,
-			Queue:      s.Queue,
+			MaxQueue:   s.Queue,
 		}
 	}
 	for _, w := range c.sortedWorkers() {
@@ -333,7 +333,7 @@
 			Address:          w.address,
 			AvailabilityZone: c.self.AvailabilityZone,
 			Epoch:            epoch,
-			Until:            until,
+			LeaseUntil:       until,
 			Slots:            s.Slots,
 		})
 	}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -57,8 +57,8 @@
 	for _, a := range d.control.Step(time.Now(), in) {
 		d.performAction(a)
 	}
-	d.nextOffsets[0].Store(d.control.Next(controller.ZoneStream(d.self.AvailabilityZone)))
-	d.nextOffsets[1].Store(d.control.Next(controller.ConfigStream))
+	d.nextOffsets[0].Store(d.control.NextOffset(controller.ZoneStream(d.self.AvailabilityZone)))
+	d.nextOffsets[1].Store(d.control.NextOffset(controller.ConfigStream))
 }
 
 // enqueue passes an input to the control goroutine.
@@ -108,7 +108,7 @@
 	case controller.Send:
 		d.send(a)
 	case controller.Link:
-		d.mesh.Set(a.Peers)
+		d.mesh.SetPeers(a.Peers)
 	case controller.Publish:
 		d.gateway.Publish(a.Table)
 	case controller.Answer:
@@ -238,7 +238,7 @@
 		cancel()
 		d.counters.countRead(page, err)
 		d.enqueueAndWait(controller.Read{Stream: stream, Sent: sent, Page: page, Err: err})
-		d.sleep(d.settings.Timing.Tail)
+		d.sleep(d.settings.Timing.TailInterval)
 	}
 	return nil
 }
@@ -267,7 +267,7 @@
 
 func (d *Daemon) pollFreeSlots() error {
 	for d.tomb.Alive() {
-		d.enqueue(controller.Free{Slots: d.gateway.Free()})
+		d.enqueue(controller.Free{Slots: d.gateway.FreeSlots()})
 		d.sleep(freeSlotsInterval)
 	}
 	return nil
