--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,6 @@
 // Package catalog folds two keyed streams into the state of all jobs. Any instance
-// writes accepted and cancelled jobs to the one; the owner of the cell writes
-// their progress to the other.
+// writes accepted and cancelled jobs to stream Accepts; the owner of the cell writes
+// their progress to stream Progress.
 //
 // Usage:
 //
@@ -84,7 +84,7 @@
 	hosts   map[string]provider.Host
 	owner   Owner
 	learned []byte
-	backlog backlog
+	backlog backlogRecord
 	crashed map[string]uint64 // terms by incarnations of workers; see CrashedRecord
 	waves   map[int]Wave
 	changed []string // jobs that were accepted or cancelled since the last TakeChanged
@@ -215,17 +215,17 @@
 	return maps.Clone(c.crashed)
 }
 
-// backlog is the record of an owner's backlog and full pools. Orders is nil while the
+// backlogRecord is the record of an owner's backlog and full pools. Backlog is nil while the
 // owner keeps up and no pool is full.
-type backlog struct {
-	Term   uint64            `cbor:"1,keyasint"`
-	Orders *overload.Backlog `cbor:"2,keyasint,omitempty"`
+type backlogRecord struct {
+	Term    uint64            `cbor:"1,keyasint"`
+	Backlog *overload.Backlog `cbor:"2,keyasint,omitempty"`
 }
 
 // BacklogRecord returns the record of the backlog and the full pools of a term's owner.
 // The backlog is nil if the owner keeps up and no pool is full.
 func BacklogRecord(term uint64, b *overload.Backlog) (provider.KeyedRecord, error) {
-	data, err := cbor.Marshal(backlog{Term: term, Orders: b})
+	data, err := cbor.Marshal(backlogRecord{Term: term, Backlog: b})
 	if err != nil {
 		return provider.KeyedRecord{}, fault.Wrap(fault.Internal, err, "record of the backlog")
 	}
@@ -233,7 +233,7 @@
 }
 
 func (c *Catalog) setBacklog(value []byte) error {
-	var b backlog
+	var b backlogRecord
 	if err := cbor.Unmarshal(value, &b); err != nil {
 		return fault.Wrap(fault.Invalid, err, "record of the backlog")
 	}
@@ -249,7 +249,7 @@
 	if c.backlog.Term != c.owner.Term {
 		return nil
 	}
-	return c.backlog.Orders
+	return c.backlog.Backlog
 }
 
 // Learned returns the learned estimates of the last owner, nil if there are none.
--- a/colocation/colocation.go
+++ b/colocation/colocation.go
@@ -139,13 +139,13 @@
 // alternativeValue returns the highest value of a unit of slack to any filling image other
 // than fill.
 func (s *Set) alternativeValue(fill string) float64 {
-	worth := 0.0
+	highest := 0.0
 	for i, f := range s.plan.fills {
 		if f != fill {
-			worth = max(worth, s.plan.price(i)*s.usable[i]/typicalSlack)
+			highest = max(highest, s.plan.price(i)*s.usable[i]/typicalSlack)
 		}
 	}
-	return worth
+	return highest
 }
 
 // maxWeight returns the largest weight of a filling image on any image of the set.
@@ -158,14 +158,14 @@
 }
 
 // BestMove returns the largest gain of moving some of a worker's images away, divided by
-// the number of tasks to move, and these images. Runs is the number of tasks of each
-// image.
-func (s *Set) BestMove(runs map[string]int) (gain float64, leave []string) {
+// the number of tasks to move, and these images. TaskCounts is the number of running
+// tasks of each image.
+func (s *Set) BestMove(taskCounts map[string]int) (gain float64, leave []string) {
 	for _, kept := range s.images {
 		staying, leaving := s.splitByKind(kept)
 		moves := 0
 		for _, image := range leaving {
-			moves += runs[image]
+			moves += taskCounts[image]
 		}
 		if moves == 0 {
 			continue
--- a/colocation/colocation_test.go
+++ b/colocation/colocation_test.go
@@ -63,11 +63,11 @@
 	is.True(scarce.Cost("rebuild", 0.1) < 2*common.Cost("rebuild", 0.1)) // other images need little of either slack
 }
 
-func TestSpoiled(t *testing.T) {
+func TestBestMove(t *testing.T) {
 	tests := []struct {
-		name  string
-		runs  map[string]int
-		leave []string
+		name       string
+		taskCounts map[string]int
+		leave      []string
 	}{
 		{"one kind", map[string]int{"a1": 2, "a2": 3}, nil},
 		{"one task of the common kind among the scarce", map[string]int{"b": 4, "a1": 1}, []string{"a1"}},
@@ -78,10 +78,10 @@
 			is := is.New(t)
 			plan := newPlan()
 			var images []string
-			for image := range test.runs {
+			for image := range test.taskCounts {
 				images = append(images, image)
 			}
-			gain, leave := plan.Set(images).BestMove(test.runs)
+			gain, leave := plan.Set(images).BestMove(test.taskCounts)
 			is.Equal(leave, test.leave)
 			is.Equal(gain > 0, test.leave != nil)
 		})
--- a/dispatcher/counters.go
+++ b/dispatcher/counters.go
@@ -131,30 +131,30 @@
 	lastLogAt    time.Time // last logged line
 }
 
-func (r *outageLogger) handleFailure(err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (l *outageLogger) handleFailure(err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if r.failingSince.IsZero() {
-		r.failingSince = now
+	if l.failingSince.IsZero() {
+		l.failingSince = now
 	}
-	if now.Sub(r.lastLogAt) < outageLogInterval {
+	if now.Sub(l.lastLogAt) < outageLogInterval {
 		return
 	}
-	r.lastLogAt = now
-	r.logger.Warn("no answer", zap.String("from", r.dependency), zap.String("part", r.stream),
+	l.lastLogAt = now
+	l.logger.Warn("no answer", zap.String("from", l.dependency), zap.String("part", l.stream),
 		zap.Stringer("kind", fault.KindOf(err)), zap.Error(err))
 }
 
-func (r *outageLogger) handleAnswer() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.failingSince.IsZero() {
+func (l *outageLogger) handleAnswer() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.failingSince.IsZero() {
 		return
 	}
-	r.logger.Info("answers again", zap.String("from", r.dependency), zap.String("part", r.stream),
-		zap.Duration("after", time.Since(r.failingSince)))
-	r.failingSince = time.Time{}
+	l.logger.Info("answers again", zap.String("from", l.dependency), zap.String("part", l.stream),
+		zap.Duration("after", time.Since(l.failingSince)))
+	l.failingSince = time.Time{}
 }
 
 // outageLogInterval is the minimum interval between two lines about the same outage.
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -49,7 +49,7 @@
 	progressSpacing = 250 * time.Millisecond // staleness of a job's state
 	maxStateAge     = 40 * time.Millisecond  // an older state is refreshed before it is returned
 	refreshTimeout  = 100 * time.Millisecond // of that refresh; then the known state is returned
-	progressWait    = 300 * time.Millisecond // long poll; below election.Timing.Fresh
+	progressWait    = 300 * time.Millisecond // long poll; below election.Timing.MaxReadAge
 )
 
 // tickInterval is the interval between ticks of the control goroutine. It bounds the delay
@@ -166,9 +166,9 @@
 }
 
 func (d *Dispatcher) newTail(stream string, fold func(provider.KeyedRecord) error, opts ...tail.Option) *tail.Tail {
-	report := &outageLogger{logger: d.logger, dependency: "store", stream: stream}
+	outages := &outageLogger{logger: d.logger, dependency: "store", stream: stream}
 	apply := func(b tail.Batch) {
-		report.handleAnswer()
+		outages.handleAnswer()
 		if len(b.Records) == 0 && !b.IsComplete {
 			return
 		}
@@ -179,7 +179,7 @@
 		}
 		d.notifyUpdate()
 	}
-	opts = append(opts, tail.WithErrors(report.handleFailure), tail.WithClock(d.clock))
+	opts = append(opts, tail.WithErrors(outages.handleFailure), tail.WithClock(d.clock))
 	return tail.New(d.platform.Store, stream, apply, opts...)
 }
 
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -48,19 +48,19 @@
 }
 
 func (s *slowStore) stream(name string) *stream {
-	p := s.streams[name]
-	if p == nil {
-		p = &stream{}
-		s.streams[name] = p
+	st := s.streams[name]
+	if st == nil {
+		st = &stream{}
+		s.streams[name] = st
 	}
-	return p
+	return st
 }
 
 func (s *slowStore) Newest(_ context.Context, name, _ string) (provider.KeyedPage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.stream(name)
-	return provider.KeyedPage{Records: append([]provider.KeyedRecord(nil), p.records...), Next: uint64(len(p.records))}, nil
+	st := s.stream(name)
+	return provider.KeyedPage{Records: append([]provider.KeyedRecord(nil), st.records...), Next: uint64(len(st.records))}, nil
 }
 
 func (s *slowStore) Read(ctx context.Context, name string, from uint64, wait time.Duration) (provider.KeyedPage, error) {
@@ -71,10 +71,10 @@
 			s.mu.Unlock()
 			return provider.KeyedPage{}, fault.New(fault.Unavailable, "reset")
 		}
-		p := s.stream(name)
-		if uint64(len(p.records)) > from || !time.Now().Before(until) {
+		st := s.stream(name)
+		if uint64(len(st.records)) > from || !time.Now().Before(until) {
 			defer s.mu.Unlock()
-			return provider.KeyedPage{Records: append([]provider.KeyedRecord(nil), p.records[from:]...), Next: uint64(len(p.records))}, nil
+			return provider.KeyedPage{Records: append([]provider.KeyedRecord(nil), st.records[from:]...), Next: uint64(len(st.records))}, nil
 		}
 		s.mu.Unlock()
 		select {
@@ -91,34 +91,34 @@
 
 func (s *slowStore) Claim(ctx context.Context, name string, w provider.Writer, next uint64, record provider.KeyedRecord) error {
 	s.mu.Lock()
-	claimed := s.beforeClaim
+	beforeClaim := s.beforeClaim
 	s.beforeClaim = nil
 	s.mu.Unlock()
-	if claimed != nil {
-		claimed()
+	if beforeClaim != nil {
+		beforeClaim()
 	}
 	return s.write(ctx, name, &w, &next, []provider.KeyedRecord{record})
 }
 
 func (s *slowStore) write(ctx context.Context, name string, w *provider.Writer, next *uint64, records []provider.KeyedRecord) error {
 	s.mu.Lock()
-	p := s.stream(name)
+	st := s.stream(name)
 	s.writes++
 	if s.unanswered && name == catalog.Accepts {
 		s.mu.Unlock()
 		<-ctx.Done()
 		return fault.Wrap(fault.MayHaveRun, ctx.Err(), "write")
 	}
-	waiting := time.Until(p.freeAt)
+	waiting := time.Until(st.freeAt)
 	if s.refuse || waiting > maxQueueTime {
 		s.mu.Unlock()
 		return fault.New(fault.Unavailable, "refused")
 	}
-	p.freeAt = time.Now().Add(max(0, waiting) + s.writeTime)
-	done := time.Until(p.freeAt)
+	st.freeAt = time.Now().Add(max(0, waiting) + s.writeTime)
+	done := time.Until(st.freeAt)
 	s.mu.Unlock()
 	result := make(chan error, 1)
-	time.AfterFunc(done, func() { result <- s.apply(p, w, next, records) })
+	time.AfterFunc(done, func() { result <- s.apply(st, w, next, records) })
 	select {
 	case err := <-result:
 		return err
@@ -127,23 +127,23 @@
 	}
 }
 
-func (s *slowStore) apply(p *stream, w *provider.Writer, next *uint64, records []provider.KeyedRecord) error {
+func (s *slowStore) apply(st *stream, w *provider.Writer, next *uint64, records []provider.KeyedRecord) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case w != nil && w.Term == p.term && w.Sequence == p.lastSequence:
+	case w != nil && w.Term == st.term && w.Sequence == st.lastSequence:
 		return nil // a retry gets the first answer
-	case next != nil && *next != uint64(len(p.records)):
+	case next != nil && *next != uint64(len(st.records)):
 		return fault.New(fault.Conflict, "moved on")
-	case w != nil && w.Term < p.term:
+	case w != nil && w.Term < st.term:
 		return fault.New(fault.StaleEpoch, "fenced")
-	case w != nil && w.Term == p.term && w.Sequence != p.lastSequence+1:
+	case w != nil && w.Term == st.term && w.Sequence != st.lastSequence+1:
 		return fault.New(fault.Conflict, "sequence")
 	}
 	if w != nil {
-		p.term, p.lastSequence = w.Term, w.Sequence
+		st.term, st.lastSequence = w.Term, w.Sequence
 	}
-	p.records = append(p.records, records...)
+	st.records = append(st.records, records...)
 	return nil
 }
 
@@ -197,9 +197,9 @@
 		for i := range errs {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 15 * time.Millisecond)
-				once, done := context.WithTimeout(ctx, 3*time.Second)
-				defer done()
-				errs[i] = all[i%len(all)].Submit(once, newJob(i))
+				submitCtx, cancelSubmit := context.WithTimeout(ctx, 3*time.Second)
+				defer cancelSubmit()
+				errs[i] = all[i%len(all)].Submit(submitCtx, newJob(i))
 			})
 		}
 		wg.Wait()
@@ -235,7 +235,8 @@
 	})
 }
 
-// Guards against stale job states.
+// Guards against instances that still return the previous state of a job 60 ms after it
+// was cancelled, because they answer from their last periodic read.
 func TestStatesAreFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -531,10 +532,10 @@
 	})
 }
 
-func (s *slowStore) setUnanswered(mute bool) {
+func (s *slowStore) setUnanswered(unanswered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unanswered = mute
+	s.unanswered = unanswered
 }
 
 // submit submits job n with a deadline.
@@ -547,10 +548,10 @@
 // Guards against jobs accepted although the overloaded owner can't start them in time.
 func TestOwnerThatDoesNotKeepUp(t *testing.T) {
 	tests := []struct {
-		name     string
-		backlog  *overload.Backlog
-		accepted bool
-		hasRoom  bool // for lasting jobs
+		name          string
+		backlog       *overload.Backlog
+		accepted      bool
+		admitsLasting bool // whether lasting jobs are accepted, too, in the pool "pool"
 	}{
 		{"it lags", &overload.Backlog{Rate: 100, Tasks: map[int]int{0: 3000}}, false, true},
 		{"less urgent tasks wait", &overload.Backlog{Rate: 100, Tasks: map[int]int{1: 3000}}, true, true},
@@ -588,7 +589,7 @@
 				lasting := newJob(4)
 				lasting.Steps[0].Lasting = true
 				lasting.Terms.Service = "pool"
-				is.Equal(d.Submit(ctx, lasting) == nil, test.accepted && test.hasRoom)
+				is.Equal(d.Submit(ctx, lasting) == nil, test.accepted && test.admitsLasting)
 				lasting = newJob(5)
 				lasting.Steps[0].Lasting = true
 				lasting.Terms.Service = "other"
@@ -617,12 +618,12 @@
 			go func() { first <- submit(ctx, d, n, 3*time.Second) }()
 			time.Sleep(300 * time.Millisecond)
 		}
-		waited := submit(ctx, d, 3, 90*time.Millisecond) // behind the writes in flight
-		is.True(fault.Is(waited, fault.Unavailable))
+		queuedErr := submit(ctx, d, 3, 90*time.Millisecond) // behind the writes in flight
+		is.True(fault.Is(queuedErr, fault.Unavailable))
 		time.Sleep(700 * time.Millisecond)
 		startedAt := time.Now()
-		late := submit(ctx, d, 4, 3*time.Second)
-		is.True(fault.Is(late, fault.Unavailable))
+		rejectedErr := submit(ctx, d, 4, 3*time.Second)
+		is.True(fault.Is(rejectedErr, fault.Unavailable))
 		is.Equal(time.Since(startedAt), time.Duration(0))
 		for range cap(first) {
 			is.True(fault.Is(<-first, fault.MayHaveRun)) // these were sent
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -26,7 +26,7 @@
 	intakeWindow         = 3 * time.Millisecond
 	maxIntakeBatch       = 64
 	maxIntakeWrites      = 3                      // maximum number of concurrent writes
-	concurrentWriteDelay = 400 * time.Millisecond // age of a write at which a concurrent one may begin
+	concurrentWriteDelay = 400 * time.Millisecond // time without a finished write after which a concurrent one may begin
 	intakeTimeout        = 1800 * time.Millisecond
 	intakeRetryInterval  = 50 * time.Millisecond
 	maxIntakeRejections  = 2                      // rejections after which the request fails, so that its caller can try another instance
@@ -220,8 +220,8 @@
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	answerTime := min(maxAnswerReserve, time.Until(deadline)/4)
-	return context.WithDeadline(ctx, deadline.Add(-answerTime))
+	reserve := min(maxAnswerReserve, time.Until(deadline)/4)
+	return context.WithDeadline(ctx, deadline.Add(-reserve))
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -20,8 +20,8 @@
 		d.runOrder(a.Order.Wait, func(ctx context.Context) cell.Input { return d.hold(ctx, a) })
 	case cell.Start:
 		d.counters.starts.Add(1)
-		ordered := d.clock()
-		d.runOrder(0, func(ctx context.Context) cell.Input { return d.start(ctx, a, ordered) })
+		orderedAt := d.clock()
+		d.runOrder(0, func(ctx context.Context) cell.Input { return d.start(ctx, a, orderedAt) })
 	case cell.Stop:
 		d.counters.stops.Add(1)
 		d.runOrder(0, func(ctx context.Context) cell.Input { return d.stop(ctx, a) })
@@ -63,11 +63,11 @@
 	return cell.HoldReply{Host: a.Order.Host.ID, Token: a.Order.Token, Sent: sent, Held: held, Err: err}
 }
 
-func (d *Dispatcher) start(ctx context.Context, a cell.Start, ordered time.Duration) cell.Input {
+func (d *Dispatcher) start(ctx context.Context, a cell.Start, orderedAt time.Duration) cell.Input {
 	sent := time.Now()
 	refusal, err := d.platform.Executor.Start(ctx, a.Order)
 	d.counters.startLatency.Record(time.Since(sent))
-	return cell.StartReply{Host: a.Order.Host.ID, Token: a.Order.Token, Task: a.Order.Task, Attempt: a.Order.Attempt, Sent: ordered, Refusal: refusal, Err: err}
+	return cell.StartReply{Host: a.Order.Host.ID, Token: a.Order.Token, Task: a.Order.Task, Attempt: a.Order.Attempt, Sent: orderedAt, Refusal: refusal, Err: err}
 }
 
 func (d *Dispatcher) stop(ctx context.Context, a cell.Stop) cell.Input {
@@ -148,8 +148,8 @@
 func (d *Dispatcher) reportWave(a cell.ReportWave) {
 	ctx := d.tomb.Context(context.Background())
 	for ctx.Err() == nil && d.platform.Machines != nil {
-		once, cancel := context.WithTimeout(ctx, saveTimeout)
-		err := d.platform.Machines.Report(once, a.Number, a.Completed)
+		callCtx, cancel := context.WithTimeout(ctx, saveTimeout)
+		err := d.platform.Machines.Report(callCtx, a.Number, a.Completed)
 		cancel()
 		if err == nil {
 			return
--- a/election/election.go
+++ b/election/election.go
@@ -17,8 +17,9 @@
 
 // Timing holds the timeouts and delays of an Election.
 type Timing struct {
-	// HeartbeatTimeout is the heartbeat timeout of an owner. An owner writes twice a
-	// second, and a slow store takes a quarter of a second for an answer.
+	// HeartbeatTimeout is the time without a heartbeat after which an owner counts as
+	// failed. An owner writes twice a second, and a slow store takes a quarter of a
+	// second for an answer.
 	HeartbeatTimeout time.Duration
 	// MaxReadAge is the maximum age of the last successful read for a claim. With
 	// an older one, this instance may itself be cut off from the store.
@@ -98,8 +99,8 @@
 }
 
 // ShouldClaim reports whether to claim the cell. Age is the time since the last successful
-// read of the owner's record. Time without a fresh read doesn't count towards the
-// owner's heartbeat timeout.
+// read of the owner's record. Time without a fresh read doesn't count as silence of the
+// owner: after it, at least half of the heartbeat timeout has to pass.
 func (e *Election) ShouldClaim(now, age time.Duration) bool {
 	if age > e.timing.MaxReadAge {
 		e.silentSince = max(e.silentSince, now-e.timing.HeartbeatTimeout/2)
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -9,7 +9,7 @@
 //	if b := g.Backlog(now); b != nil { // the owner doesn't keep up
 //		b.Add(priority, tasks)  // for each waiting step
 //	}
-//	priority, full := overload.IsFull(late, whole) // for each pool; into Backlog.Full
+//	priority, full := overload.IsFull(lateDemand, capacity) // for each pool; into Backlog.Full
 //	// write the Backlog for the other instances
 //
 // and where jobs are submitted:
@@ -86,7 +86,7 @@
 type Gauge struct {
 	windowStart time.Duration // start of the current window
 	passes      int           // scheduling passes in the window
-	boundPasses int           // passes of these that the owner's own limits ended
+	boundPasses int           // number of these passes that the owner's own limits ended
 	starts      int           // in the window
 	rate        float64       // starts a second, averaged over windows in which the owner lagged
 	lagging     bool          // in the last window
@@ -145,13 +145,13 @@
 
 // IsFull reports whether a pool is full, and the priority from which on lasting jobs are
 // rejected then. A pool is full when the demand of waiting urgent tasks beyond their
-// objective exceeds a share of it. Late is that demand by priority, whole the
-// capacity of the pool, in the same unit.
-func IsFull(late map[int]int64, whole int64) (priority int, full bool) {
+// objective exceeds fullShare of its capacity. LateDemand is that demand by priority, in
+// the unit of capacity.
+func IsFull(lateDemand map[int]int64, capacity int64) (priority int, full bool) {
 	sum := int64(0)
-	for _, p := range slices.Sorted(maps.Keys(late)) {
-		sum += late[p]
-		if float64(sum) > fullShare*float64(whole) {
+	for _, p := range slices.Sorted(maps.Keys(lateDemand)) {
+		sum += lateDemand[p]
+		if float64(sum) > fullShare*float64(capacity) {
 			return p, true
 		}
 	}
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestFull(t *testing.T) {
+func TestIsFull(t *testing.T) {
 	const whole = 100_000
 	tests := []struct {
 		name     string
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestHasRoom(t *testing.T) {
+func TestAdmits(t *testing.T) {
 	is := is.New(t)
 	var unknown *overload.Backlog
 	is.True(unknown.Admits("pool", 0))
--- a/pressure/pressure.go
+++ b/pressure/pressure.go
@@ -230,9 +230,9 @@
 // either their slack suffices now, or all filling tasks together are so light that
 // it suffices even at the peak of their load.
 func (e *Estimator) Tolerates(headroom []Headroom, image string, share float64) bool {
-	for _, r := range headroom {
-		p := e.Weight(r.Image, image) * share
-		if r.Slack-p < minStartSlack && typicalPeakSlack-r.Pressure-p < minPeakSlack {
+	for _, h := range headroom {
+		p := e.Weight(h.Image, image) * share
+		if h.Slack-p < minStartSlack && typicalPeakSlack-h.Pressure-p < minPeakSlack {
 			return false
 		}
 	}
@@ -243,8 +243,8 @@
 // tasks, as the largest fraction of a task's remaining slack.
 func (e *Estimator) Cost(headroom []Headroom, image string, share float64) float64 {
 	largest := 0.0
-	for _, r := range headroom {
-		largest = max(largest, e.Weight(r.Image, image)*share/max(minPeakSlack, r.Slack))
+	for _, h := range headroom {
+		largest = max(largest, e.Weight(h.Image, image)*share/max(minPeakSlack, h.Slack))
 	}
 	return largest
 }
@@ -253,8 +253,8 @@
 // worker's serving tasks.
 func (e *Estimator) MaxPressure(headroom []Headroom, image string, share float64) float64 {
 	largest := 0.0
-	for _, r := range headroom {
-		largest = max(largest, e.Weight(r.Image, image)*share)
+	for _, h := range headroom {
+		largest = max(largest, e.Weight(h.Image, image)*share)
 	}
 	return largest
 }
--- a/pressure/pressure_test.go
+++ b/pressure/pressure_test.go
@@ -75,12 +75,12 @@
 		report := pressure.Served{Job: "job-" + served, Image: served, Target: target, Tail: w.tail(served, at, fills)}
 		e.Observe(at, []pressure.Served{report}, fills)
 	}
-	for pair, press := range w.weights {
+	for pair, simulated := range w.weights {
 		got := e.Weight(pair[0], pair[1])
-		if press < 1 {
-			is.True(got < 5) // 2 in truth
+		if simulated < 1 {
+			is.True(got < 5) // the true weight is 2: 0.4 times target / idle
 		} else {
-			is.True(got > 12) // 22.5 in truth
+			is.True(got > 12) // the true weight is 22.5
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // bound must also fit fast oscillations.
 func TestSlackIsPredicted(t *testing.T) {
 	tests := []struct {
-		period float64 // of the swing, in seconds
+		period float64 // of the load's oscillation, in seconds
 		mean   float64 // bound of the mean error
 	}{
 		{5, 0.68},  // error without a slope: 0.70; with slopes bounded by those of 14 s: 1.22
@@ -147,7 +147,7 @@
 				report := pressure.Served{Job: "j", Image: "s0", Target: target, Tail: w.tail("s0", at, nil)}
 				e.Observe(at, []pressure.Served{report}, nil)
 				if step < 20 {
-					continue // the first swing
+					continue // warm-up: the first oscillation
 				}
 				// Tolerance is the predicted slack minus the slack that must be left.
 				next := float64(target) / float64(w.noiselessTail("s0", at+700*time.Millisecond))
@@ -173,7 +173,7 @@
 
 // predictionErrorBesideHeavy returns the mean error of predicted slacks while a heavy filling
 // task starts and ends every two seconds. With windowMeans, shares are passed as means
-// over the window of a reading, otherwise as of the moment.
+// over the window of a reading, otherwise as values at the time of the report.
 func predictionErrorBesideHeavy(windowMeans bool) float64 {
 	w := newSimulation()
 	w.weights[[2]string{"s0", "f0"}] = 2.0 // a tenth of the worker takes a slack of 1
--- a/progress/progress.go
+++ b/progress/progress.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// RecordFailure records a failed attempt at a task. It reports whether the record changed. A worker
-// repeats the end of an attempt until it is acknowledged, also to the next owner;
-// counting it twice would fail the job too early.
+// RecordFailure records a failed attempt at a task. It reports whether the record
+// changed. A worker repeats the end of an attempt until it is acknowledged, also to the
+// next owner; counting it twice would fail the job too early.
 func (p *Progress) RecordFailure(t job.Task, attempt uint64) bool {
 	n := p.taskNumber(t)
 	r := p.round(t.Occurrence)
--- a/tail/tail.go
+++ b/tail/tail.go
@@ -80,7 +80,7 @@
 	streamEnd     atomic.Uint64 // end offset of the stream in the last response
 
 	refreshSemaphore chan struct{} // held while a refresh runs, like loadSemaphore
-	refreshing       sync.Mutex    // guards upcoming
+	upcomingMu       sync.Mutex    // guards upcoming
 	upcoming         *refresh
 }
 
@@ -219,17 +219,17 @@
 // during a refresh share the next one, which starts after all of them. Over a slow link
 // one shared response arrives in time where many concurrent ones wouldn't.
 func (t *Tail) Refresh(ctx context.Context) error {
-	t.refreshing.Lock()
-	f := t.upcoming
-	if f == nil {
-		f = &refresh{done: make(chan struct{})}
-		t.upcoming = f
-		go t.runRefresh(f)
+	t.upcomingMu.Lock()
+	r := t.upcoming
+	if r == nil {
+		r = &refresh{done: make(chan struct{})}
+		t.upcoming = r
+		go t.runRefresh(r)
 	}
-	t.refreshing.Unlock()
+	t.upcomingMu.Unlock()
 	select {
-	case <-f.done:
-		return f.err
+	case <-r.done:
+		return r.err
 	case <-ctx.Done():
 		return fault.Wrap(fault.Unavailable, ctx.Err(), "read to the end of %s", t.stream)
 	}
@@ -242,14 +242,14 @@
 }
 
 // runRefresh runs a refresh after the one in progress has ended.
-func (t *Tail) runRefresh(f *refresh) {
+func (t *Tail) runRefresh(r *refresh) {
 	t.refreshSemaphore <- struct{}{}
-	t.refreshing.Lock()
+	t.upcomingMu.Lock()
 	t.upcoming = nil
-	t.refreshing.Unlock()
-	f.err = t.readToEnd()
+	t.upcomingMu.Unlock()
+	r.err = t.readToEnd()
 	<-t.refreshSemaphore
-	close(f.done)
+	close(r.done)
 }
 
 // readToEnd reads up to the stream's end. It is bounded by the timeouts of its reads, not
--- a/tail/tail_test.go
+++ b/tail/tail_test.go
@@ -135,9 +135,9 @@
 
 		s.maxRecords = 1
 		s.write("a", "b")
-		cut := <-batches
-		is.Equal(len(cut.Records), 1)
-		is.Equal(cut.AsOf, read.AsOf) // the page was truncated
+		truncated := <-batches
+		is.Equal(len(truncated.Records), 1)
+		is.Equal(truncated.AsOf, read.AsOf) // the page was truncated
 
 		rest := <-batches
 		is.Equal(len(rest.Records), 1)
@@ -181,9 +181,9 @@
 // seconds, more than the timeout of one page, and a retry mustn't start from the first.
 func TestLoadOverSlowLink(t *testing.T) {
 	tests := []struct {
-		name    string
-		failing int
-		pages   int
+		name     string
+		lostPage int
+		pages    int
 	}{
 		{"all pages arrive", -1, 5},
 		{"a page is lost", 3, 6},
@@ -193,7 +193,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSlowLinkStore(5*pageRecords, 700*time.Millisecond)
-				s.lostPage = tt.failing
+				s.lostPage = tt.lostPage
 				reader, known := follow(t, s)
 				time.Sleep(6 * time.Second)
 				is.Equal(known(), 5*pageRecords)
