--- a/dispatcher/control.go
+++ b/dispatcher/control.go
@@ -13,8 +13,8 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Timeouts of calls. A call usually takes a few milliseconds; a slow store takes
-// a quarter of a second.
+// Timeouts of calls. They are far above the usual duration of a call, a few
+// milliseconds, and above that of a slow store, a quarter of a second.
 const (
 	orderTimeout    = 900 * time.Millisecond
 	adviceTimeout   = 4 * time.Second        // an answer takes time for each worker in the request
@@ -134,8 +134,8 @@
 	return true
 }
 
-// resumeRecordedClaim resumes a claim of this process that is on record although it failed:
-// its answer was lost, or the records written before it couldn't be read.
+// resumeRecordedClaim resumes a claim of this process that is on record although it
+// failed: its answer was lost, or the records written before it couldn't be read.
 func (d *Dispatcher) resumeRecordedClaim() {
 	owner := d.catalog.Owner()
 	if d.claiming || owner.Nonce != d.nonce || owner.Term <= d.term || owner.Leaving || d.clock() < d.resumeClaimAt {
@@ -294,6 +294,8 @@
 	}
 }
 
+// step passes an input to the cell, if this instance owns it, and executes the actions
+// that the cell returns.
 func (d *Dispatcher) step(in cell.Input) {
 	if d.cell == nil {
 		return
--- a/dispatcher/counters.go
+++ b/dispatcher/counters.go
@@ -119,8 +119,8 @@
 	return d.counters.vars
 }
 
-// outageLogger logs the outages of a dependency: at most one line per outageLogInterval while it
-// fails, and one when it answers again.
+// outageLogger logs the outages of a dependency: at most one line per outageLogInterval
+// while it fails, and one when it answers again.
 type outageLogger struct {
 	logger     *zap.Logger
 	dependency string
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// withAnswerReserve returns a context that ends before its parent's deadline: a quarter of the
-// remaining time before it, at most maxAnswerReserve.
+// withAnswerReserve returns a context that ends before its parent's deadline, so that time
+// is left for the answer: a quarter of the remaining time, at most maxAnswerReserve.
 func withAnswerReserve(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -330,9 +330,9 @@
 	return s, nil
 }
 
-// refreshProgress reads the newest progress records and reports whether it did. Without it a
-// caller that asks just after its job's last task ended would see the job as
-// running, and poll again much later.
+// refreshProgress reads the newest progress records and reports whether it did. Without it
+// a caller that asks just after its job's last task ended would see the job as running,
+// and poll again much later.
 func (d *Dispatcher) refreshProgress(ctx context.Context) bool {
 	age := d.progress.Age()
 	if age < maxStateAge || age > progressSpacing+progressWait {
--- a/dispatcher/list.go
+++ b/dispatcher/list.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// logFirstFreshList logs the first list of workers that is fresh enough for a new owner to start
-// tasks.
+// logFirstFreshList logs the first list of workers that is fresh enough for a new owner
+// to start tasks.
 func (d *Dispatcher) logFirstFreshList(list *provider.HostList) {
 	if !d.hostList.awaitingFresh || d.hostList.ownerSince-list.AsOf >= d.timing.MaxListAge {
 		return
--- a/pressure/pressure.go
+++ b/pressure/pressure.go
@@ -217,8 +217,8 @@
 	return tolerance
 }
 
-// expectedSlack returns the slack that a serving task is expected to have after predictionHorizon
-// without filling tasks.
+// expectedSlack returns the slack that a serving task is expected to have after
+// predictionHorizon without filling tasks.
 func (e *Estimator) expectedSlack(s *Served) float64 {
 	if b := e.bases[s.Job]; b != nil {
 		return b.predict(predictionHorizon)
