--- a/bench/batch/wire.go
+++ b/bench/batch/wire.go
@@ -103,7 +103,7 @@
 
 func (c *calibration) worker(ctx context.Context, s *wireSizes) error {
 	w := client.NewWorker("worker", c.opts...)
-	request := provider.LeaseRequest{Holder: "e00", TTL: time.Minute, Tasks: time.Minute}
+	request := provider.LeaseRequest{Holder: "e00", TTL: time.Minute, TaskExtension: time.Minute}
 	var l provider.Lease
 	size, err := c.size(func() (err error) {
 		l, err = w.Acquire(ctx, request)
@@ -171,7 +171,7 @@
 	defer server.Close()
 	go a.Run(ctx)
 	go b.Run(ctx)
-	a.Set([]peer.Peer{{ID: "e01", Address: "peer", AvailabilityZone: "zone-a"}})
+	a.SetPeers([]peer.Peer{{ID: "e01", Address: "peer", AvailabilityZone: "zone-a"}})
 	go drain(ctx, a)
 	var before int64
 	for i := range uint64(calibrationRounds + 1) {
--- a/controller/config.go
+++ b/controller/config.go
@@ -57,7 +57,7 @@
 	}
 	m, err := manifest.Parse("manifest", in.Manifest)
 	if err == nil && c.manifest != nil {
-		err = m.Follow(c.manifest)
+		err = m.AssignZones(c.manifest)
 	}
 	if err != nil {
 		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Invalid, "%s", err)})
@@ -80,7 +80,7 @@
 		c.emit(Answer{ID: in.ID, Err: fault.New(fault.Unavailable, "too many publications: %d are waiting for the log service", len(c.config.pending))})
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.Command)})
+	c.config.pending = append(c.config.pending, &publication{id: in.ID, isCommand: true, data: data, expiresAt: now.Add(c.timing.CommandTimeout)})
 	c.flushAppends(now)
 }
 
@@ -143,7 +143,7 @@
 // handleConfigRead applies a page of the configuration stream.
 func (c *Controller) handleConfigRead(now time.Time, in Read) {
 	if in.Page.Oldest > c.revisions.Next() {
-		c.revisions.Restart(in.Page.Oldest)
+		c.revisions.RestartAt(in.Page.Oldest)
 	}
 	if in.Err != nil {
 		return
@@ -172,7 +172,7 @@
 	}
 	switch outcome.Kind {
 	case revision.Published, revision.Repeated:
-		c.emit(Answer{ID: pub.id, Revision: outcome.Winner.Number})
+		c.emit(Answer{ID: pub.id, Revision: outcome.InForce.Number})
 	default:
 		c.emit(Answer{ID: pub.id, Err: fault.New(fault.Conflict, "%s", outcome)})
 	}
@@ -199,7 +199,7 @@
 	if c.config.lastRestatement.IsZero() {
 		c.config.lastRestatement = now
 	}
-	due := now.Sub(c.config.lastRestatement) >= c.timing.Snapshot || c.config.restateDue
+	due := now.Sub(c.config.lastRestatement) >= c.timing.SnapshotInterval || c.config.restateDue
 	if c.manifest == nil || !c.isProposer() || !due {
 		return
 	}
@@ -214,7 +214,7 @@
 		c.logEvent(Warn, "configuration could not be restated", "error", err.Error())
 		return
 	}
-	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.Command)})
+	c.config.pending = append(c.config.pending, &publication{data: data, expiresAt: now.Add(c.timing.CommandTimeout)})
 }
 
 // handleConfigRequest sends the configuration in force here to an instance
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -13,23 +13,23 @@
 func (c *Controller) newMembers() *member.Table {
 	return member.New(
 		member.Self{ID: c.self.ID, AvailabilityZone: c.self.AvailabilityZone, Incarnation: c.self.Incarnation},
-		member.WithHeartbeat(c.timing.Heartbeat),
-		member.WithSuspicion(c.timing.Suspicion),
+		member.WithHeartbeat(c.timing.HeartbeatInterval),
+		member.WithSuspicion(c.timing.SuspicionTimeout),
 	)
 }
 
 func (c *Controller) newLeaseTable() *lease.Table {
 	return lease.New(
 		lease.WithHolder(c.self.ID),
-		lease.WithTTL(c.timing.Lease),
-		lease.WithTaskTTL(c.timing.Task),
-		lease.WithMaxDrift(c.timing.Drift),
-		lease.WithIsolationBound(c.timing.Isolation),
+		lease.WithTTL(c.timing.WorkerLease),
+		lease.WithTaskTTL(c.timing.TaskLease),
+		lease.WithMaxDrift(c.timing.MaxDrift),
+		lease.WithIsolationBound(c.timing.MaxIsolation),
 	)
 }
 
 func (c *Controller) handleHeartbeat(now time.Time, h member.Heartbeat) {
-	switch c.members.Heard(now, h) {
+	switch c.members.HandleHeartbeat(now, h) {
 	case member.Rejected:
 		return
 	case member.Replaced:
@@ -45,7 +45,7 @@
 
 func (c *Controller) handleUnlinked(now time.Time, in Unlinked) {
 	if in.Refused {
-		c.members.Lost(now, in.ID)
+		c.members.HandleRefused(now, in.ID)
 	}
 }
 
@@ -101,7 +101,7 @@
 			Address:          m.Address,
 			AvailabilityZone: m.AvailabilityZone,
 			Free:             m.Free,
-			Heard:            m.Heard,
+			LastContact:      m.Heard,
 		})
 	}
 	return peers
@@ -130,7 +130,7 @@
 	}
 	c.leaving = true
 	c.routesDirty = true
-	c.members.Leave()
+	c.members.BeginLeave()
 	c.handleTick(now)
 }
 
@@ -160,7 +160,7 @@
 // finishLeaving emits Left once no worker is held and all written records have
 // been read back.
 func (c *Controller) finishLeaving(now time.Time) {
-	if !c.leaving || c.left || c.appender.Waiting() > 0 {
+	if !c.leaving || c.left || c.appender.PendingCount() > 0 {
 		return
 	}
 	if c.isLastInstance() {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -99,13 +99,13 @@
 	for _, opt := range opts {
 		opt(d)
 	}
-	d.log = client.NewLog(s.Log.String())
-	d.list = client.NewList(s.List.String())
+	d.log = client.NewLog(s.LogAddress.String())
+	d.list = client.NewList(s.ListAddress.String())
 	d.self = controller.Self{
 		ID:               s.Instance,
 		AvailabilityZone: s.AvailabilityZone,
 		Incarnation:      uint64(time.Now().UnixMilli()),
-		Address:          s.Peer.String(),
+		Address:          s.PeerAddress.String(),
 	}
 	return d
 }
@@ -149,14 +149,14 @@
 
 func (d *Daemon) newMesh() *peer.Mesh {
 	const missed = 3 // heartbeats missed before a link counts as silent
-	beat := d.settings.Timing.Heartbeat
+	beat := d.settings.Timing.HeartbeatInterval
 	return peer.New(
 		peer.WithSelf(member.Self{
 			ID:               d.self.ID,
 			AvailabilityZone: d.self.AvailabilityZone,
 			Incarnation:      d.self.Incarnation,
 		}),
-		peer.WithSilence(missed*beat, missed*member.RemoteFactor*beat),
+		peer.WithSilenceTimeouts(missed*beat, missed*member.RemoteHeartbeatFactor*beat),
 	)
 }
 
@@ -168,16 +168,16 @@
 
 func controllerTiming(t setting.Timing) controller.Timing {
 	return controller.Timing{
-		Heartbeat: t.Heartbeat,
-		Suspicion: t.Suspicion,
-		Lease:     t.Lease,
-		Task:      t.Task,
-		Drift:     t.Drift,
-		Isolation: t.Isolation,
-		Append:    t.Append,
-		Snapshot:  t.Snapshot,
-		Fence:     2 * t.Suspicion,
-		Command:   commandTimeout,
+		HeartbeatInterval: t.HeartbeatInterval,
+		SuspicionTimeout:  t.SuspicionTimeout,
+		WorkerLease:       t.Lease,
+		TaskLease:         t.TaskLease,
+		MaxDrift:          t.MaxDrift,
+		MaxIsolation:      t.MaxIsolation,
+		AppendInterval:    t.AppendInterval,
+		SnapshotInterval:  t.SnapshotInterval,
+		FenceAfter:        2 * t.SuspicionTimeout,
+		CommandTimeout:    commandTimeout,
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	d.logger.Info("leaving")
 	d.enqueue(controller.Leave{})
-	drain, cancel := context.WithTimeout(context.Background(), d.settings.Timing.Drain)
+	drain, cancel := context.WithTimeout(context.Background(), d.settings.Timing.DrainTimeout)
 	defer cancel()
 	if err := d.gateway.Drain(drain); err != nil {
 		d.logger.Warn("drain cut short", zap.Error(err))
@@ -211,7 +211,7 @@
 // listen opens the caller, peer and operator listeners, all or none.
 func (d *Daemon) listen() ([]net.Listener, error) {
 	var listeners []net.Listener
-	for _, a := range []string{d.settings.Caller.String(), d.settings.Peer.String(), d.settings.Operator.String()} {
+	for _, a := range []string{d.settings.CallerAddress.String(), d.settings.PeerAddress.String(), d.settings.OperatorAddress.String()} {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
 			for _, open := range listeners {
@@ -232,7 +232,7 @@
 // serve runs one server per listener, so that a flood of caller requests can't
 // shut out peers or operators.
 func (d *Daemon) serve(listeners []net.Listener) {
-	handlers := []http.Handler{d.gateway.Callers(), d.peerHandler(), d.operatorHandler()}
+	handlers := []http.Handler{d.gateway.CallerHandler(), d.peerHandler(), d.operatorHandler()}
 	for i, l := range listeners {
 		server := d.gateway.Server(handlers[i])
 		d.tomb.Go(func() error {
@@ -256,7 +256,7 @@
 // peerHandler serves links and forwarded requests. It doesn't use a ServeMux,
 // which would redirect a forwarded path that contains "//" or "..".
 func (d *Daemon) peerHandler() http.Handler {
-	forwards := d.gateway.Forwards()
+	forwards := d.gateway.PeerHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == peer.Path {
 			d.mesh.ServeHTTP(w, r)
--- a/dispatcher/intake.go
+++ b/dispatcher/intake.go
@@ -26,7 +26,7 @@
 	intakeWindow         = 3 * time.Millisecond
 	maxIntakeBatch       = 64
 	maxIntakeWrites      = 3                      // maximum number of concurrent writes
-	concurrentWriteDelay = 400 * time.Millisecond // age of a write at which a concurrent one may begin
+	concurrentWriteDelay = 400 * time.Millisecond // time without a finished write after which a concurrent one may begin
 	intakeTimeout        = 1800 * time.Millisecond
 	intakeRetryInterval  = 50 * time.Millisecond
 	maxIntakeRejections  = 2                      // rejections after which the request fails, so that its caller can try another instance
@@ -213,15 +213,15 @@
 	}
 }
 
-// withAnswerReserve returns a context that ends before its parent's deadline: a quarter of the
-// remaining time before it, at most maxAnswerReserve.
+// withAnswerReserve returns a context that ends before its parent's deadline, so that time
+// is left for the answer: a quarter of the remaining time, at most maxAnswerReserve.
 func withAnswerReserve(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	answerTime := min(maxAnswerReserve, time.Until(deadline)/4)
-	return context.WithDeadline(ctx, deadline.Add(-answerTime))
+	reserve := min(maxAnswerReserve, time.Until(deadline)/4)
+	return context.WithDeadline(ctx, deadline.Add(-reserve))
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -330,9 +330,9 @@
 	return s, nil
 }
 
-// refreshProgress reads the newest progress records and reports whether it did. Without it a
-// caller that asks just after its job's last task ended would see the job as
-// running, and poll again much later.
+// refreshProgress reads the newest progress records and reports whether it did. Without it
+// a caller that asks just after its job's last task ended would see the job as running,
+// and poll again much later.
 func (d *Dispatcher) refreshProgress(ctx context.Context) bool {
 	age := d.progress.Age()
 	if age < maxStateAge || age > progressSpacing+progressWait {
