--- a/mitigation/ladder.go
+++ b/mitigation/ladder.go
@@ -17,16 +17,16 @@
 // are at the floor and the service is still above the limit, a task is evicted
 // after a checkpoint, within a budget per job and group and only for a gain
 // above the cost. When no batch task can help, the service itself is moved.
-// Below the release limit, throttles are released after a hold time, which
-// doubles when a service rises again soon after a release.
+// Below the release limit, throttles are released after a release delay: the
+// hold time, doubled each time a service rises again soon after a release.
 //
 // Each step waits for reports that were measured after the previous action,
 // however late they arrive. A worker whose reports stopped is kept at a
 // conservative throttle, and nothing is evicted on outdated measurements.
 //
 // State is bounded: one record for each worker with a decision in the last
-// hour, and the evictions of the budget's window. A Ladder isn't safe for
-// concurrent use.
+// hour, and the evictions and moves within the budget's window. A Ladder isn't
+// safe for concurrent use.
 package mitigation
 
 //go:generate go tool stringer -type=Kind,Mode -output=strings.go
@@ -95,7 +95,7 @@
 	for _, opt := range opts {
 		opt(&l.options)
 	}
-	l.budget = budget{spent: map[string][]time.Time{}}
+	l.budget = budget{uses: map[string][]time.Time{}}
 	return l
 }
 
@@ -187,7 +187,7 @@
 	if r.aboveLimitSince.IsZero() {
 		r.aboveLimitSince = now
 	}
-	if now.Sub(r.lastRelease) < relapseHolds*l.releaseDelay(r) && r.lastRelease.After(r.lastThrottle) {
+	if now.Sub(r.lastRelease) < relapseDelays*l.releaseDelay(r) && r.lastRelease.After(r.lastThrottle) {
 		r.backoff = min(r.backoff+1, maxBackoff)
 	}
 	suspects := suspectsFor(in.Tasks, worst)
--- a/mitigation/load.go
+++ b/mitigation/load.go
@@ -8,8 +8,9 @@
 // relieveOverload throttles the largest batch tasks until the rest fits the
 // worker's processors. When a service's load rises and it needs processors
 // that batch tasks had borrowed, all tasks slow down together, so that the
-// estimator can't attribute the slowdown to any pair of tasks. The sum of
-// measured use shows the overload at once.
+// estimator can't attribute the slowdown to any pair of tasks: it shows as high
+// residuals at a load above 1. The sum of measured use shows the overload at
+// once and needs no culprit.
 func (l *Ladder) relieveOverload(in Worker) []Action {
 	excess := in.Load - maxLoad
 	if excess <= 0 || len(in.Victims) == 0 {
--- a/mitigation/options.go
+++ b/mitigation/options.go
@@ -7,9 +7,9 @@
 	maxLoad        = 1.0       // of the processors, above which batch tasks are throttled
 	maxReleaseLoad = 0.97      // load up to which throttles are released
 	minRelief      = 0.02      // logarithm of the smallest slowdown worth an action
-	relapseHolds   = 2         // a rise within this many hold times after a release is a relapse
-	forgiveHolds   = 8         // the hold time halves after this many hold times without a throttle
-	maxBackoff     = 5         // doublings of the hold time
+	relapseDelays  = 2         // a rise within this many release delays after a release is a relapse
+	forgiveDelays  = 8         // the release delay halves after this many release delays without a throttle
+	maxBackoff     = 5         // doublings of the release delay
 	forgetAfter    = time.Hour // idle time after which a worker's record is dropped
 )
 
@@ -68,8 +68,8 @@
 	return func(o *options) { o.floor, o.lastFloor = first, last }
 }
 
-// WithHold sets how long services must stay below the limit before a throttle
-// is released (default 1 minute).
+// WithHold sets how long a worker must have had no action before a throttle is
+// released, as long as no relapse has doubled it (default 1 minute).
 func WithHold(d time.Duration) Option {
 	return func(o *options) { o.holdTime = d }
 }
--- a/mitigation/release.go
+++ b/mitigation/release.go
@@ -10,23 +10,23 @@
 )
 
 // releaseDelay returns how long a worker must have had no action before a
-// throttle is released. Each relapse doubles it: otherwise a working throttle
-// would be released and applied again forever, with the period of the lag.
+// throttle is released: the hold time, doubled by each relapse. With a fixed
+// delay a working throttle would be released and applied again forever, with
+// the period of the lag.
 func (l *Ladder) releaseDelay(r *workerRecord) time.Duration {
 	return l.holdTime << r.backoff
 }
 
 // releaseThrottles raises the speed of throttled tasks, the least harmful
-// first, as far as the model expects the worst service, which is at level, to
-// stay below the target. A task that the model now considers harmless returns
-// to full speed at once; the others wait for the release delay and double
-// their speed.
-func (l *Ladder) releaseThrottles(now time.Time, r *workerRecord, in Worker, level float64) []Action {
-	held := now.Sub(r.lastAction) < l.releaseDelay(r)
-	if !held && r.backoff > 0 && now.Sub(r.lastThrottle) > forgiveHolds*l.releaseDelay(r) {
+// first, as far as the model expects the worst service to stay below the
+// target. A task that the model now considers harmless returns to full speed at
+// once; the others wait for the release delay and double their speed.
+func (l *Ladder) releaseThrottles(now time.Time, r *workerRecord, in Worker, worstLevel float64) []Action {
+	tooSoon := now.Sub(r.lastAction) < l.releaseDelay(r)
+	if !tooSoon && r.backoff > 0 && now.Sub(r.lastThrottle) > forgiveDelays*l.releaseDelay(r) {
 		r.backoff--
 	}
-	headroom := math.Log(l.target() / level)
+	headroom := math.Log(l.target() / worstLevel)
 	spareLoad := maxReleaseLoad - in.Load
 	var actions []Action
 	for _, t := range throttledTasks(in) {
@@ -37,7 +37,7 @@
 		}
 		rise := harm * float64(percent-t.Percent) / fullSpeed
 		addedLoad := t.Share * float64(percent-t.Percent) / fullSpeed
-		if rise > headroom || addedLoad > spareLoad || held && harm >= minRelief {
+		if rise > headroom || addedLoad > spareLoad || tooSoon && harm >= minRelief {
 			break
 		}
 		headroom -= rise
--- a/mitigation/state.go
+++ b/mitigation/state.go
@@ -24,7 +24,7 @@
 	lastThrottle    time.Time
 	lastRelease     time.Time
 	aboveLimitSince time.Time // zero while no service is above the limit
-	backoff         int       // doublings of the hold time
+	backoff         int       // doublings of the release delay
 }
 
 // WorkerState describes a worker's record for dumps.
@@ -59,8 +59,8 @@
 	return r
 }
 
-// prune drops workers without a decision for an hour, and evictions older than
-// the budget's window.
+// prune drops workers without a decision for an hour, and uses of the budget
+// older than its window.
 func (l *Ladder) prune(now time.Time) {
 	if now.Sub(l.lastPrune) < l.budgetWindow {
 		return
@@ -74,12 +74,14 @@
 	l.budget.prune(now.Add(-l.budgetWindow))
 }
 
-// budget counts evictions in a sliding window.
+// budget bounds the evictions of jobs and groups, and the moves of services, in
+// a sliding window.
 type budget struct {
-	spent map[string][]time.Time
+	uses map[string][]time.Time // times of use by name, oldest first
 }
 
-// budgetLimit is the number of uses allowed under a name within a window.
+// budgetLimit bounds the uses within a window under the name of a job, group or
+// service.
 type budgetLimit struct {
 	name string
 	max  int
@@ -89,27 +91,27 @@
 func (b *budget) take(now time.Time, window time.Duration, limits ...budgetLimit) bool {
 	for _, limit := range limits {
 		b.trim(limit.name, now.Add(-window))
-		if len(b.spent[limit.name]) >= limit.max {
+		if len(b.uses[limit.name]) >= limit.max {
 			return false
 		}
 	}
 	for _, limit := range limits {
-		b.spent[limit.name] = append(b.spent[limit.name], now)
+		b.uses[limit.name] = append(b.uses[limit.name], now)
 	}
 	return true
 }
 
 func (b *budget) trim(name string, horizon time.Time) {
-	kept := slices.DeleteFunc(b.spent[name], func(at time.Time) bool { return !at.After(horizon) })
+	kept := slices.DeleteFunc(b.uses[name], func(at time.Time) bool { return !at.After(horizon) })
 	if len(kept) == 0 {
-		delete(b.spent, name)
+		delete(b.uses, name)
 		return
 	}
-	b.spent[name] = kept
+	b.uses[name] = kept
 }
 
 func (b *budget) prune(horizon time.Time) {
-	for name := range b.spent {
+	for name := range b.uses {
 		b.trim(name, horizon)
 	}
 }
--- a/mitigation/suspect.go
+++ b/mitigation/suspect.go
@@ -77,8 +77,9 @@
 // evictSuspects returns the evictions that cover the excess, preferring the
 // least lost work among tasks with a similar relief. An eviction loses work
 // without helping the service when another task was the cause or the evicted
-// one was about to end. Its gain, weighted by the estimate's confidence and
-// the task's remaining time, must therefore exceed its cost.
+// one was about to end; it shows as evictions without a fall of the tail
+// latency. The gain, weighted by the estimate's confidence and the task's
+// remaining time, must therefore exceed the cost.
 func (l *Ladder) evictSuspects(now time.Time, suspects []suspect, worst *interference.Victim) []Action {
 	candidates := slices.DeleteFunc(slices.Clone(suspects), func(s suspect) bool {
 		return s.relief(s.Percent, 0) < minRelief || l.gain(s) <= l.cost(s)
--- a/relay/counters.go
+++ b/relay/counters.go
@@ -9,10 +9,10 @@
 	direct           expvar.Int // orders sent directly
 	repeated         expvar.Int // relayed orders that were repeated directly
 	linksUp          expvar.Int // open connections
-	sentBytes        expvar.Int // bytes
-	receivedBytes    expvar.Int // bytes
-	sentMessages     expvar.Int // messages sent
-	receivedMessages expvar.Int // messages received
+	sentBytes        expvar.Int
+	receivedBytes    expvar.Int
+	sentMessages     expvar.Int
+	receivedMessages expvar.Int
 }
 
 func newCounters() *counters {
--- a/relay/gap_test.go
+++ b/relay/gap_test.go
@@ -63,6 +63,6 @@
 
 // messageRate returns the messages per second if all events within a gap share one.
 func messageRate(gap time.Duration, directions int, events float64) float64 {
-	each := events / float64(directions)
-	return float64(directions) * each / (1 + each*gap.Seconds())
+	perDirection := events / float64(directions)
+	return float64(directions) * perDirection / (1 + perDirection*gap.Seconds())
 }
--- a/relay/link.go
+++ b/relay/link.go
@@ -98,7 +98,8 @@
 }
 
 // check connects a wanted link that has no connection, and closes a connection that is
-// silent. The time otherContact is the last contact with any other instance.
+// silent. otherContact is the time of the last contact with any other instance, or now
+// if there are too few connections to compare.
 func (l *link) check(now, otherContact time.Time, wanted bool, t *tomb.Tomb) {
 	l.mu.Lock()
 	s := l.session
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -393,7 +393,7 @@
 
 // Start implements provider.Executor.
 func (e *Executor) Start(ctx context.Context, o provider.StartOrder) (provider.Refusal, error) {
-	r, sent := e.relay(ctx, o.Host, wire.Order{
+	r, handled := e.relay(ctx, o.Host, wire.Order{
 		Kind:       wire.Start,
 		Token:      o.Token,
 		Task:       o.Task,
@@ -402,7 +402,7 @@
 		Checkpoint: o.Checkpoint,
 		Ticket:     o.Ticket,
 	}, o.Spec)
-	if !sent {
+	if !handled {
 		return e.direct.Start(ctx, o)
 	}
 	if err := r.Err(); err != nil {
@@ -422,8 +422,8 @@
 }
 
 func (e *Executor) run(ctx context.Context, kind wire.Kind, o provider.RunOrder, direct func(context.Context, provider.RunOrder) error) error {
-	r, sent := e.relay(ctx, o.Host, wire.Order{Kind: kind, Token: o.Token, Task: o.Task, Attempt: o.Attempt, Percent: o.Percent}, "")
-	if !sent {
+	r, handled := e.relay(ctx, o.Host, wire.Order{Kind: kind, Token: o.Token, Task: o.Task, Attempt: o.Attempt, Percent: o.Percent}, "")
+	if !handled {
 		return direct(ctx, o)
 	}
 	return r.Err()
--- a/relay/routes.go
+++ b/relay/routes.go
@@ -110,17 +110,17 @@
 	if id, ok := r.picked[h.ID]; ok {
 		return id
 	}
-	var reached []string
+	var upIDs []string
 	maxUsed := r.numUsed(h.AvailabilityZone)
 	for _, id := range r.zones[h.AvailabilityZone] {
-		if len(reached) >= maxUsed {
+		if len(upIDs) >= maxUsed {
 			break
 		}
 		if up(id) {
-			reached = append(reached, id)
+			upIDs = append(upIDs, id)
 		}
 	}
-	id, _ := rendezvous.Pick(h.ID, reached)
+	id, _ := rendezvous.Pick(h.ID, upIDs)
 	r.picked[h.ID] = id
 	return id
 }
--- a/relay/wire/wire.go
+++ b/relay/wire/wire.go
@@ -9,7 +9,7 @@
 // A connection carries Orders in one direction and Results in the other, in
 // CBOR. Workers and job specifications are sent in full once per connection and
 // then referenced by number. The list of runs on a worker is sent as its
-// difference from the previous list; see type Lists. A start takes 70 bytes,
+// difference from the previous list; see type RunLists. A start takes 70 bytes,
 // compared with 250 plus the specification over HTTP.
 package wire
 
@@ -67,10 +67,10 @@
 	Token      uint64 `cbor:"4,keyasint,omitempty"`
 	Task       string `cbor:"5,keyasint,omitempty"`
 	Attempt    uint64 `cbor:"6,keyasint,omitempty"`
-	Spec       uint64 `cbor:"7,keyasint,omitempty"` // number of the specification
-	SpecText   string `cbor:"8,keyasint,omitempty"` // set if the number is new or reassigned
-	Deadline   int64  `cbor:"9,keyasint,omitempty"`
-	Seen       uint64 `cbor:"10,keyasint,omitempty"`
+	Spec       uint64 `cbor:"7,keyasint,omitempty"`  // number of the specification
+	SpecText   string `cbor:"8,keyasint,omitempty"`  // set if the number is new or reassigned
+	Deadline   int64  `cbor:"9,keyasint,omitempty"`  // on the worker's clock in milliseconds
+	Seen       uint64 `cbor:"10,keyasint,omitempty"` // of a hold: the worker may forget the ended runs up to this number
 	Wait       int64  `cbor:"11,keyasint,omitempty"` // milliseconds
 	Percent    int    `cbor:"12,keyasint,omitempty"`
 	Checkpoint string `cbor:"13,keyasint,omitempty"`
