--- a/cell/cell.go
+++ b/cell/cell.go
@@ -80,7 +80,7 @@
 	nextTokens          map[string]uint64     // token for the next incarnation of a dropped worker, by ID
 	unresolvedStarts    map[string][]*run     // starts that the next incarnation of their worker may still carry out, by worker ID
 	reservedTasks       []*task               // tasks that hold a reservation
-	recentlyDown        map[*worker]crashSpan // workers that went down recently without a trial
+	recentlyDown        map[*worker]crashSpan // workers without a trial that went down recently
 	fillingDemand       map[string]float64    // demand for filling tasks by image, in workers
 	adviceInFlight      bool                  // an Advise has no outcome yet
 	adviceRetryAt       time.Duration
--- a/cell/colocate.go
+++ b/cell/colocate.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for f := range wanted {
-		c.fillingDemand[f] += 0
+		c.fillingDemand[f] += 0 // adds a missing image, so that the next loop covers it
 	}
 	for f, d := range c.fillingDemand {
 		c.fillingDemand[f] = d + demandSmoothing*(wanted[f]-d)
--- a/cell/cordon_test.go
+++ b/cell/cordon_test.go
@@ -59,7 +59,7 @@
 // takeovers.
 func TestRandomSchedulesWithCordons(t *testing.T) {
 	forEachSeed(t, schedules/3, func(t *testing.T, seed uint64) {
-		s := newSite(t, 3100+seed, scheduleHosts, 3)
+		s := newSite(t, 3100+seed, scheduleWorkers, 3)
 		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		for range 4 {
 			at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
--- a/cell/correlate.go
+++ b/cell/correlate.go
@@ -126,9 +126,9 @@
 }
 
 // recordDown remembers when a worker without a trial went down.
-func (c *Cell) recordDown(w *worker, at crashSpan) {
+func (c *Cell) recordDown(w *worker, span crashSpan) {
 	if w.isIndependent() {
-		c.recentlyDown[w] = at
+		c.recentlyDown[w] = span
 	}
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// recordMachinesDown records workers that the list of machines reports as down before a
-// hold to them has failed: they may have gone down together with those already missed.
+// recordMachinesDown records workers whose machines are listed as down although no hold to
+// them has failed yet: they may have gone down together with workers that are silent.
 func (c *Cell) recordMachinesDown(in ListMachinesReply, byMachine map[string]*provider.Machine) {
 	for _, w := range c.everyWorker() {
 		m := byMachine[w.host.Machine]
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -87,7 +87,7 @@
 // needsRecordedStart reports whether a task's start has to be on record before it is
 // ordered, because the task crashed a worker or may have crashed one.
 func (c *Cell) needsRecordedStart(t *task) bool {
-	return t.suspect || t.unresolved || t.step.job.mayHaveCrashed && t.attempt < c.firstAttempt()
+	return t.suspect || t.inheritedStart || t.step.job.mayHaveCrashed && t.attempt < c.firstAttempt()
 }
 
 // isStartRecorded reports whether the task's next start is on record.
@@ -165,7 +165,7 @@
 	t := r.task
 	c.retractCrash(t, r.attempt)
 	h := t.step.job.progress.Crashes(t.id)
-	t.unresolved = h.StartPending
+	t.inheritedStart = h.StartPending
 	if t.suspect {
 		r.beginTrial()
 	}
@@ -198,7 +198,7 @@
 
 // isWatched reports whether the outcome of the task's start has to be tracked.
 func (t *task) isWatched() bool {
-	return t.suspect || t.unresolved || t.startChange > 0
+	return t.suspect || t.inheritedStart || t.startChange > 0
 }
 
 // clearSuspicion resets the crash history of a task whose worker stayed up, or listed the
@@ -208,7 +208,7 @@
 		return
 	}
 	t.startChange = 0
-	t.unresolved = false
+	t.inheritedStart = false
 	if t.step.job.progress.Crashes(t.id) == (crash.History{}) {
 		return
 	}
@@ -218,11 +218,12 @@
 	c.setCrashes(t, crash.History{})
 }
 
-// markUnresolvedStarts makes the first start of each task that an earlier owner may have
-// started go on record first, if the survey or a recent owner found a crashed worker: the
-// last start on such a worker left no trace. Without this a task that crashes its worker
-// is started once more for each owner that is killed during the crash.
-func (c *Cell) markUnresolvedStarts() {
+// requireRecordedStarts requires, for each task that an earlier owner may have started,
+// that this owner's first start of it is on record before it is ordered, if the survey or
+// a recent owner found a crashed worker: the last start on such a worker left no trace.
+// Without this a task that crashes its worker is started once more for each owner that is
+// killed during the crash.
+func (c *Cell) requireRecordedStarts() {
 	if !c.survey.mayHaveCrashed("") {
 		return
 	}
@@ -255,7 +256,7 @@
 	h := t.step.job.progress.Crashes(t.id)
 	h.RecordCrash(r.attempt, f.simultaneous == 0 && r.trial && r.startedClock != 0)
 	t.startChange = 0
-	t.unresolved = false
+	t.inheritedStart = false
 	c.logEvent("crash", "task", t.name, "attempt", r.attempt, "worker", r.worker.host.ID,
 		"trial", r.trial, "others", f.simultaneous, "crashes", h.Crashes, "alone", h.CrashesInTrials)
 	c.setCrashes(t, h)
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -217,7 +217,7 @@
 func TestRandomSchedulesWithCrashes(t *testing.T) {
 	forEachSeed(t, schedules, func(t *testing.T, seed uint64) {
 		is := is.New(t)
-		s := newSite(t, 800+seed, scheduleHosts, 3)
+		s := newSite(t, 800+seed, scheduleWorkers, 3)
 		s.crashEveryNth(8, scheduleJobs)
 		s.playSchedule()
 		for id := range s.jobs {
@@ -264,7 +264,8 @@
 	})
 }
 
-// Guards against a crashed worker that only an owner knew about which was killed next.
+// Guards against a crash that is forgotten because the only owner that knew of it was
+// killed.
 func TestOwnersInHaste(t *testing.T) {
 	forEachSeed(t, crashSeeds, func(t *testing.T, seed uint64) {
 		const jobs, every = 40, 150 * time.Millisecond
--- a/cell/delays.go
+++ b/cell/delays.go
@@ -34,10 +34,10 @@
 }
 
 // recordDelays adds the time that an ended run cost its task to the task's delays.
-func (c *Cell) recordDelays(r *run, how provider.End) {
+func (c *Cell) recordDelays(r *run, end provider.End) {
 	d := &r.task.delays
 	ran := c.now - r.orderedAt
-	switch how {
+	switch end {
 	case provider.EndDone:
 		r.timeLost += r.timeLostSincePace(c.now)
 		d.Add(delay.Slowed, r.timeLost)
--- a/cell/end.go
+++ b/cell/end.go
@@ -51,36 +51,36 @@
 }
 
 // endRun removes a run that has ended, and completes, fails or requeues its task.
-func (c *Cell) endRun(r *run, how provider.End, checkpoint string) {
+func (c *Cell) endRun(r *run, end provider.End, checkpoint string) {
 	c.removeRun(r)
 	t := r.task
 	if t == nil {
 		return
 	}
 	w := r.worker
-	c.logEvent("end", "task", r.name, "attempt", r.attempt, "worker", w.host.ID, "how", how.String(), "ran", c.now-r.orderedAt)
+	c.logEvent("end", "task", r.name, "attempt", r.attempt, "worker", w.host.ID, "how", end.String(), "ran", c.now-r.orderedAt)
 	s := t.step
 	if s.job.final() {
 		return
 	}
-	c.recordDelays(r, how)
-	if how != provider.EndLost && how != provider.EndLapsed {
+	c.recordDelays(r, end)
+	if end != provider.EndLost && end != provider.EndLapsed {
 		c.clearSuspicion(t, r.attempt) // the worker lists the end, so it didn't crash
 	}
 	c.saveCheckpoint(t, checkpoint)
-	if how == provider.EndDone && !s.spec.Lasting {
+	if end == provider.EndDone && !s.spec.Lasting {
 		c.recordSuccess(w)
 		c.completeRun(t)
 		return
 	}
-	switch how {
+	switch end {
 	case provider.EndFailed:
 		c.avoid(t, w)
 		w.failures++
 		c.quarantineIfFailing(w)
 		c.failTask(t, r.attempt)
 	}
-	if s.spec.Gang && how != provider.EndDone {
+	if s.spec.Gang && end != provider.EndDone {
 		c.breakGang(s)
 	}
 	c.requeue(t)
--- a/cell/exposure.go
+++ b/cell/exposure.go
@@ -31,7 +31,8 @@
 	return mean, max(share-e.previous, e.previous-share)
 }
 
-// recordChange records that the share changes at the given time.
+// recordChange records that the share changes at the given time, which may be in the
+// future. share is the value until then.
 func (e *exposure) recordChange(now, at time.Duration, share float64) {
 	e.previous, _ = e.mean(now, share)
 	e.changedAt = at
--- a/cell/harness_test.go
+++ b/cell/harness_test.go
@@ -164,7 +164,7 @@
 		if !w.up && at >= w.downAt && !w.restarting {
 			continue
 		}
-		if w.entryUnsound {
+		if w.entryCorrupt {
 			list.Invalid = append(list.Invalid, w.host.ID)
 			continue
 		}
--- a/cell/hold.go
+++ b/cell/hold.go
@@ -50,7 +50,8 @@
 	return min(c.timing.HoldWait, max(c.timing.MixedWait, time.Duration(len(c.workers))*mixedHoldInterval))
 }
 
-// mixedHoldInterval is the minimum time between two such holds, over all workers.
+// mixedHoldInterval is the minimum time between two holds to workers with filling tasks
+// beside serving ones, over all of these workers.
 const mixedHoldInterval = 2 * time.Millisecond
 
 // handleHoldReply handles a worker's answer to a hold.
--- a/cell/hostlist_test.go
+++ b/cell/hostlist_test.go
@@ -12,7 +12,8 @@
 	"github.com/dogwoodladder/dogwoodladder/provider"
 )
 
-// Guards against starts on workers that have announced their leave, by a stale list.
+// Guards against an owner with a stale list that starts tasks on a worker after it
+// announced its leave.
 func TestNoStartByAnOldList(t *testing.T) {
 	tests := []struct {
 		name string
@@ -93,8 +94,8 @@
 	s.mustComplete(4)
 }
 
-// Guards against checkpointed work that is lost with a leaving worker that a new owner
-// found.
+// Guards against a new owner that doesn't move the runs it finds on a leaving worker, so
+// that their checkpointed work is lost with the worker.
 func TestTakeoverEvacuatesWhatItFinds(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 502, 3, 2)
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// resolveStart handles the outcome of a start whose worker is lost. Only a refusal
-// resolves it: an accepted start may run on the next incarnation.
-func (c *Cell) resolveStart(in StartReply) {
+// resolveRefusedStart handles the outcome of a start whose worker is lost. Only a refusal
+// resolves the start: an accepted start may run on the next incarnation.
+func (c *Cell) resolveRefusedStart(in StartReply) {
 	refused := in.Err == nil && in.Refusal != provider.Accepted || fault.Is(in.Err, fault.Unavailable)
 	for i, r := range c.unresolvedStarts[in.Host] {
 		if refused && r.name == in.Task && r.attempt == in.Attempt {
--- a/cell/invariants_test.go
+++ b/cell/invariants_test.go
@@ -26,8 +26,8 @@
 	if w.leaving && s.now-w.leavingSince > leaveNotice {
 		s.recordViolation("leaving: %s on %s, %v after it announced its leave", o.Task, w.host.ID, s.now-w.leavingSince)
 	}
-	if w.entryUnsound && s.now-w.unsoundSince > listNotice {
-		s.recordViolation("unsound: %s on %s, %v after its entry was corrupted", o.Task, w.host.ID, s.now-w.unsoundSince)
+	if w.entryCorrupt && s.now-w.corruptSince > listNotice {
+		s.recordViolation("unsound: %s on %s, %v after its entry was corrupted", o.Task, w.host.ID, s.now-w.corruptSince)
 	}
 	used := s.needOf(o.Task)
 	for _, r := range w.runs {
@@ -49,7 +49,7 @@
 		s.recordViolation("%v", err)
 		return
 	}
-	s.checkOrder(id)
+	s.checkDependencies(id)
 	for _, c := range s.store.cancelled {
 		if c.id == id.Job && s.now-c.at > 3*time.Second {
 			s.recordViolation("cancelled: %s %v after its cancellation", o.Task, s.now-c.at)
@@ -70,7 +70,7 @@
 // Limits for a task that crashes the workers that start it.
 const (
 	allowedCrashes  = 3 // workers that it may crash
-	maxStartsBeyond = 3 // number of starts after these that is a violation
+	maxStartsBeyond = 3 // starts after these crashes at which a violation is recorded
 )
 
 // checkCrashes checks a start against the number of workers that the task has crashed.
@@ -123,8 +123,8 @@
 	return err == nil && s.jobOf(id.Job).Steps[id.Step].Lasting
 }
 
-// checkOrder checks that the steps that a started task depends on are done.
-func (s *site) checkOrder(id job.Task) {
+// checkDependencies checks that the steps that a started task depends on are done.
+func (s *site) checkDependencies(id job.Task) {
 	j := s.jobOf(id.Job)
 	if j == nil {
 		s.recordViolation("unknown job: %s", id)
--- a/cell/job.go
+++ b/cell/job.go
@@ -59,22 +59,22 @@
 
 // task is one task of a step.
 type task struct {
-	id           job.Task
-	name         string
-	step         *stepState
-	run          *run // the current run, nil while there is none
-	done         bool
-	queued       bool // whether it is in step.ready
-	waitingSince time.Duration
-	delays       delay.Account
-	startCount   uint64
-	attempt      uint64                    // highest attempt number seen or given out
-	checkpoint   string                    // newest checkpoint
-	suspect      bool                      // it may crash the worker that starts it
-	unresolved   bool                      // a start by an earlier owner is on record without an outcome
-	startChange  uint64                    // number of the job's change that records its next start, zero if none does
-	reservation  *reservation              // capacity reserved for its next start, nil if none is
-	avoidUntil   map[*worker]time.Duration // workers on which it failed or hung, and until when they are avoided
+	id             job.Task
+	name           string
+	step           *stepState
+	run            *run // the current run, nil while there is none
+	done           bool
+	queued         bool // whether it is in step.ready
+	waitingSince   time.Duration
+	delays         delay.Account
+	startCount     uint64
+	attempt        uint64                    // highest attempt number seen or given out
+	checkpoint     string                    // newest checkpoint
+	suspect        bool                      // it may crash the worker that starts it
+	inheritedStart bool                      // a start by an earlier owner is on record without an outcome
+	startChange    uint64                    // number of the job's change that records its next start, zero if none does
+	reservation    *reservation              // capacity reserved for its next start, nil if none is
+	avoidUntil     map[*worker]time.Duration // workers on which it failed or hung, and until when they are avoided
 }
 
 // final reports whether the job has reached a final state.
--- a/cell/machines.go
+++ b/cell/machines.go
@@ -18,7 +18,7 @@
 // whose machine is off, or runs another worker, has no running tasks, so its tasks needn't
 // wait for its lease to expire.
 func (c *Cell) requestMachineList() {
-	if c.machineListInFlight || c.now-c.lastMachineListAt < machineListInterval || !c.hasDoubtfulWorker() {
+	if c.machineListInFlight || c.now-c.lastMachineListAt < machineListInterval || !c.anyNeedsMachineCheck() {
 		return
 	}
 	c.machineListInFlight = true
@@ -26,19 +26,19 @@
 	c.emit(ListMachines{})
 }
 
-// hasDoubtfulWorker reports whether any worker is doubtful.
-func (c *Cell) hasDoubtfulWorker() bool {
+// anyNeedsMachineCheck reports whether the state of any worker's machine is needed.
+func (c *Cell) anyNeedsMachineCheck() bool {
 	for _, w := range c.everyWorker() {
-		if c.isDoubtful(w) {
+		if c.needsMachineCheck(w) {
 			return true
 		}
 	}
 	return false
 }
 
-// isDoubtful reports whether a worker has been silent for long enough to ask about its
-// machine, and holds up runs or the survey.
-func (c *Cell) isDoubtful(w *worker) bool {
+// needsMachineCheck reports whether a worker has been silent for long enough to ask about
+// its machine, and holds up runs or the survey.
+func (c *Cell) needsMachineCheck(w *worker) bool {
 	if w.missedHolds == 0 || c.now-w.lastContact < silenceBeforeQuery {
 		return false
 	}
@@ -69,7 +69,7 @@
 	}
 	c.recordMachinesDown(in, byMachine)
 	for _, w := range c.everyWorker() {
-		if c.isDoubtful(w) && w.host.Machine != "" && w.lastContact < in.Sent {
+		if c.needsMachineCheck(w) && w.host.Machine != "" && w.lastContact < in.Sent {
 			c.checkMachine(w, cmp.Or(byMachine[w.host.Machine], byMachine[""]))
 		}
 	}
--- a/cell/relocate_test.go
+++ b/cell/relocate_test.go
@@ -35,7 +35,7 @@
 		if s.stepOf(task).Image == "mind" {
 			for name, r := range w.runs {
 				if s.stepOf(name).Fills {
-					slack -= 12 * float64(s.processorsOf(name)) / workerCores * float64(r.pace) / 100
+					slack -= 12 * float64(s.processorsOf(name)) / workerMillicores * float64(r.pace) / 100
 				}
 			}
 		}
@@ -44,8 +44,8 @@
 	s.owners[0].takeOver()
 	s.submit(servingJob(1, "mind", 5))
 	s.after(500*time.Millisecond, func() { s.submit(servingJob(2, "mind", 3)) })  // uses up the worker of job 1
-	s.after(1000*time.Millisecond, func() { s.submit(servingJob(3, "bear", 4)) }) // on the other one
-	s.after(1500*time.Millisecond, func() { s.submit(servingJob(4, "mind", 3)) }) // beside it, as nothing else has free capacity
+	s.after(1000*time.Millisecond, func() { s.submit(servingJob(3, "bear", 4)) }) // on the other worker
+	s.after(1500*time.Millisecond, func() { s.submit(servingJob(4, "mind", 3)) }) // beside job 3, as the other worker is full
 	rebuild := &job.Job{ID: jobID(5), Spec: "x", Steps: []job.Step{step(24, 2)}}
 	rebuild.Steps[0].Fills = true
 	rebuild.Steps[0].Image = "rebuild"
--- a/cell/restart_test.go
+++ b/cell/restart_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Guards against ends that are acknowledged unread because the previous incarnation had
-// listed as many.
+// Guards against ends of a new incarnation that are acknowledged before they were read,
+// because the previous incarnation had listed as many.
 func TestEndsOfANewIncarnationAreRead(t *testing.T) {
 	tests := []struct {
 		name               string
@@ -311,7 +311,7 @@
 	s.run(s.now + 300*time.Millisecond)
 	for _, w := range s.workers[:2] {
 		is.True(w.up)
-		w.host.Capacity = w.host.Capacity.Scale(1).Sub(resource.Vector{Processors: workerCores / 2})
+		w.host.Capacity = w.host.Capacity.Scale(1).Sub(resource.Vector{Processors: workerMillicores / 2})
 	}
 	s.run(2 * settleTime)
 	s.mustComplete(1)
@@ -344,14 +344,14 @@
 // faults.
 func TestRandomSchedulesWithRestarts(t *testing.T) {
 	forEachSeed(t, 3*schedules, func(t *testing.T, seed uint64) {
-		s := newSite(t, 2200+seed, scheduleHosts, 3)
+		s := newSite(t, 2200+seed, scheduleWorkers, 3)
 		s.acksCoverLaterEnds = seed%2 == 0
 		s.entryDelay = time.Duration(seed%3) * 400 * time.Millisecond
 		s.machineListDelay = time.Duration(seed%4) * 150 * time.Millisecond
 		rng := rand.New(rand.NewPCG(2200+seed, 2))
 		for range 10 {
 			at := time.Duration(rng.Int64N(int64(scheduleLength)))
-			number, silent := rng.IntN(scheduleHosts), rng.IntN(2) == 0
+			number, silent := rng.IntN(scheduleWorkers), rng.IntN(2) == 0
 			down := 300*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
 			s.after(at, func() { s.restartOne(number, down, silent) })
 		}
--- a/cell/run.go
+++ b/cell/run.go
@@ -161,7 +161,7 @@
 	c.needsDispatch = true
 	w := c.workerByToken(in.Host, in.Token)
 	if w == nil {
-		c.resolveStart(in)
+		c.resolveRefusedStart(in)
 		return
 	}
 	r := w.runs[in.Task]
--- a/cell/save.go
+++ b/cell/save.go
@@ -53,8 +53,8 @@
 }
 
 // sortedJobs returns the jobs to write, by ID.
-func (s *recordWriter) sortedJobs() []*jobState {
-	jobs := slices.Collect(maps.Keys(s.dirtyJobs))
+func (rw *recordWriter) sortedJobs() []*jobState {
+	jobs := slices.Collect(maps.Keys(rw.dirtyJobs))
 	slices.SortFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.job.ID, b.job.ID) })
 	return jobs
 }
@@ -72,54 +72,54 @@
 }
 
 // markDirty schedules a job's progress to be written.
-func (s *recordWriter) markDirty(j *jobState) {
-	s.dirtyJobs[j] = struct{}{}
+func (rw *recordWriter) markDirty(j *jobState) {
+	rw.dirtyJobs[j] = struct{}{}
 	j.changeCount++
 }
 
 // dropProgress schedules the deletion of a job's progress.
-func (s *recordWriter) dropProgress(id string) {
-	s.droppedJobs = append(s.droppedJobs, id)
+func (rw *recordWriter) dropProgress(id string) {
+	rw.droppedJobs = append(rw.droppedJobs, id)
 }
 
 // register schedules a worker to be put on record.
-func (s *recordWriter) register(w *worker) {
-	s.dirtyHosts[w.host.ID] = w
+func (rw *recordWriter) register(w *worker) {
+	rw.dirtyHosts[w.host.ID] = w
 }
 
 // unregister schedules the deletion of a worker's record.
-func (s *recordWriter) unregister(w *worker) {
-	s.dirtyHosts[w.host.ID] = nil
+func (rw *recordWriter) unregister(w *worker) {
+	rw.dirtyHosts[w.host.ID] = nil
 }
 
-// deferAck has a worker's ends acknowledged after the next write. It returns false if
-// nothing has to be written before they are acknowledged.
-func (s *recordWriter) deferAck(w *worker) bool {
-	if len(s.dirtyJobs) == 0 && s.batch == nil {
+// deferAck defers the acknowledgement of a worker's ends until the next write. It returns
+// false if nothing has to be written before they are acknowledged.
+func (rw *recordWriter) deferAck(w *worker) bool {
+	if len(rw.dirtyJobs) == 0 && rw.batch == nil {
 		return false
 	}
-	s.awaitingAck[w] = struct{}{}
+	rw.awaitingAck[w] = struct{}{}
 	return true
 }
 
-func (s *recordWriter) hasPending() bool {
-	return s.batch != nil || len(s.dirtyJobs) > 0 || len(s.dirtyHosts) > 0 || len(s.dirtyWaves) > 0 || len(s.droppedJobs) > 0
+func (rw *recordWriter) hasPending() bool {
+	return rw.batch != nil || len(rw.dirtyJobs) > 0 || len(rw.dirtyHosts) > 0 || len(rw.dirtyWaves) > 0 || len(rw.droppedJobs) > 0
 }
 
 // writeRecords writes the changed records, or a heartbeat if there are none. It retries a
 // write that failed.
 func (c *Cell) writeRecords() {
-	s := &c.writer
-	if b := s.batch; b != nil {
+	rw := &c.writer
+	if b := rw.batch; b != nil {
 		if !b.inFlight && c.now >= b.retryAt {
 			c.sendBatch(b)
 		}
 		return
 	}
-	if c.now-s.lastWriteAt < c.timing.MinSaveInterval {
+	if c.now-rw.lastWriteAt < c.timing.MinSaveInterval {
 		return
 	}
-	if !s.hasPending() && len(s.awaitingAck) == 0 && c.now-s.lastWriteAt < c.timing.HeartbeatInterval && s.leaving == s.leaveRecorded {
+	if !rw.hasPending() && len(rw.awaitingAck) == 0 && c.now-rw.lastWriteAt < c.timing.HeartbeatInterval && rw.leaving == rw.leaveRecorded {
 		return
 	}
 	b, err := c.newBatch()
@@ -127,8 +127,8 @@
 		c.depose(err.Error())
 		return
 	}
-	s.batch = b
-	s.lastWriteAt = c.now
+	rw.batch = b
+	rw.lastWriteAt = c.now
 	c.sendBatch(b)
 }
 
@@ -139,9 +139,9 @@
 }
 
 func (c *Cell) newBatch() (*batch, error) {
-	s := &c.writer
-	b := &batch{save: Save{Term: c.self.Term, Sequence: s.nextSequence}, leaving: s.leaving}
-	s.nextSequence++
+	rw := &c.writer
+	b := &batch{save: Save{Term: c.self.Term, Sequence: rw.nextSequence}, leaving: rw.leaving}
+	rw.nextSequence++
 	c.heartbeats++
 	owner, err := catalog.OwnerRecord(catalog.Owner{
 		Term:       c.self.Term,
@@ -149,13 +149,13 @@
 		Nonce:      c.self.Nonce,
 		Sequence:   c.self.Sequence,
 		Heartbeats: c.heartbeats,
-		Leaving:    s.leaving,
+		Leaving:    rw.leaving,
 	})
 	if err != nil {
 		return nil, err
 	}
 	b.save.Records = append(b.save.Records, owner)
-	for _, j := range s.sortedJobs() {
+	for _, j := range rw.sortedJobs() {
 		r, err := catalog.ProgressRecord(j.job.ID, j.progress)
 		if err != nil {
 			return nil, err
@@ -166,7 +166,7 @@
 			b.claims = append(b.claims, j)
 		}
 	}
-	for id, w := range inOrder(s.dirtyHosts) {
+	for id, w := range inOrder(rw.dirtyHosts) {
 		r, err := catalog.HostRecord(id, w.hostRecord())
 		if err != nil {
 			return nil, err
@@ -179,31 +179,31 @@
 	if err := c.addCrashed(b); err != nil {
 		return nil, err
 	}
-	for _, id := range s.droppedJobs {
+	for _, id := range rw.droppedJobs {
 		b.save.Records = append(b.save.Records, catalog.ProgressDeletion(id))
 	}
-	s.droppedJobs = nil
-	for n, w := range inOrder(s.dirtyWaves) {
+	rw.droppedJobs = nil
+	for n, w := range inOrder(rw.dirtyWaves) {
 		r, err := catalog.WaveRecord(n, w)
 		if err != nil {
 			return nil, err
 		}
 		b.save.Records = append(b.save.Records, r)
 	}
-	clear(s.dirtyWaves)
+	clear(rw.dirtyWaves)
 	if err := c.addLearned(b); err != nil {
 		return nil, err
 	}
 	if err := c.addBacklog(b); err != nil {
 		return nil, err
 	}
-	for w := range s.awaitingAck {
+	for w := range rw.awaitingAck {
 		b.acks = append(b.acks, ack{worker: w, ended: w.handledEnd})
 	}
 	slices.SortFunc(b.acks, func(x, y ack) int { return cmp.Compare(x.worker.host.ID, y.worker.host.ID) })
-	clear(s.dirtyJobs)
-	clear(s.dirtyHosts)
-	clear(s.awaitingAck)
+	clear(rw.dirtyJobs)
+	clear(rw.dirtyHosts)
+	clear(rw.awaitingAck)
 	return b, nil
 }
 
@@ -262,8 +262,8 @@
 
 // handleSaveReply handles the outcome of a write.
 func (c *Cell) handleSaveReply(in SaveReply) {
-	s := &c.writer
-	b := s.batch
+	rw := &c.writer
+	b := rw.batch
 	if b == nil || b.save.Sequence != in.Sequence {
 		return
 	}
@@ -274,14 +274,14 @@
 	}
 	if in.Err != nil {
 		b.retryAt = c.now + c.timing.SaveRetryInterval
-		if c.now-s.lastContact > c.timing.HeartbeatInterval*2 {
-			c.logEvent("not saved", "sequence", in.Sequence, "since", c.now-s.lastContact, "err", in.Err)
+		if c.now-rw.lastContact > c.timing.HeartbeatInterval*2 {
+			c.logEvent("not saved", "sequence", in.Sequence, "since", c.now-rw.lastContact, "err", in.Err)
 		}
 		return
 	}
-	s.batch = nil
-	s.lastContact = b.sentAt
-	s.leaveRecorded = b.leaving
+	rw.batch = nil
+	rw.lastContact = b.sentAt
+	rw.leaveRecorded = b.leaving
 	c.completeBatch(b)
 }
 
--- a/cell/schedule_test.go
+++ b/cell/schedule_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	schedules      = 60
-	scheduleLength = 25 * time.Second
-	scheduleJobs   = 14
-	scheduleHosts  = 5
+	schedules       = 60
+	scheduleLength  = 25 * time.Second
+	scheduleJobs    = 14
+	scheduleWorkers = 5
 )
 
 // TestRandomSchedules injects faults drawn from fixed seeds, alone and in combination, and
@@ -21,7 +21,7 @@
 // end.
 func TestRandomSchedules(t *testing.T) {
 	forEachSeed(t, schedules, func(t *testing.T, seed uint64) {
-		s := newSite(t, 100+seed, scheduleHosts, 3)
+		s := newSite(t, 100+seed, scheduleWorkers, 3)
 		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		s.playSchedule()
 	})
@@ -32,23 +32,23 @@
 func (s *site) playSchedule() {
 	s.t.Helper()
 	is := is.New(s.t)
-	s.arrivals()
+	s.submitArrivals()
 	s.owners[0].takeOver()
 	for range 7 {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
-		s.after(at, s.fault)
+		s.after(at, s.injectFault)
 	}
 	s.after(scheduleLength, s.endFaults)
 	s.run(scheduleLength + 3*settleTime)
 	is.Equal(s.violations, nil)
 	for id := range s.jobs {
 		state := s.state(id)
-		is.True(state == "completed" || state == "cancelled" || state == "failed") // nothing is left
+		is.True(state == "completed" || state == "cancelled" || state == "failed") // no job is left unfinished
 	}
 }
 
-// arrivals submits jobs over the length of the schedule.
-func (s *site) arrivals() {
+// submitArrivals submits jobs over the length of the schedule.
+func (s *site) submitArrivals() {
 	for i := range scheduleJobs {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
 		j := &job.Job{ID: jobID(i), Steps: []job.Step{step(1+s.rng.IntN(4), 1+s.rng.Int64N(4)), step(1+s.rng.IntN(3), 2, 0)}}
@@ -61,22 +61,22 @@
 	}
 }
 
-// fault injects a random fault, which ends by itself.
-func (s *site) fault() {
+// injectFault injects a random fault, which ends by itself.
+func (s *site) injectFault() {
 	o := s.owners[s.rng.IntN(len(s.owners))]
 	w := s.workers[s.rng.IntN(len(s.workers))]
 	span := time.Second + time.Duration(s.rng.Int64N(int64(7*time.Second)))
 	switch s.rng.IntN(7) {
 	case 0:
 		o.kill()
-		s.after(time.Second, s.successor)
+		s.after(time.Second, s.takeOverBySuccessor)
 	case 1:
 		o.freeze(span)
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverBySuccessor)
 	case 2:
 		o.noStore = true
 		s.after(span, func() { o.noStore = false })
-		s.after(1700*time.Millisecond, s.successor)
+		s.after(1700*time.Millisecond, s.takeOverBySuccessor)
 	case 3:
 		for i := range s.workers {
 			o.unreachable[i] = s.rng.IntN(2) == 0
@@ -95,8 +95,8 @@
 	}
 }
 
-// successor makes an instance that reaches the store take the cell.
-func (s *site) successor() {
+// takeOverBySuccessor makes an instance that reaches the store take the cell.
+func (s *site) takeOverBySuccessor() {
 	for range 10 {
 		o := s.owners[s.rng.IntN(len(s.owners))]
 		if !o.noStore && !o.frozen {
--- a/cell/services_test.go
+++ b/cell/services_test.go
@@ -28,7 +28,7 @@
 		reply := cell.AdviseReply{Job: a.Job, Round: a.Round, Step: a.Step, Hosts: a.Hosts, Valid: ticketTime, Sent: sent}
 		for _, h := range a.Hosts {
 			if s.isAllowed(h) {
-				ticket := fmt.Sprintf("%s/%d/%v", h, s.bornOf(h), s.now)
+				ticket := fmt.Sprintf("%s/%d/%v", h, s.startedAtOf(h), s.now)
 				s.tickets[ticket] = s.now + ticketTime
 				reply.Tickets = append(reply.Tickets, provider.Ticket{Host: h, Value: ticket})
 			}
@@ -39,8 +39,8 @@
 	})
 }
 
-// bornOf returns the start time of a worker's current incarnation, zero if it is down.
-func (s *site) bornOf(id string) uint64 {
+// startedAtOf returns the start time of a worker's current incarnation, zero if it is down.
+func (s *site) startedAtOf(id string) uint64 {
 	for _, w := range s.workers {
 		if w.up && w.host.ID == id {
 			return w.host.StartedAt
--- a/cell/serving.go
+++ b/cell/serving.go
@@ -61,7 +61,7 @@
 func (c *Cell) throttle(w *worker, served []pressure.Served) {
 	var runs []*run
 	var tasks []throttle.Task
-	slack := c.pressure.Tolerance(served)
+	tolerance := c.pressure.Tolerance(served)
 	for _, r := range inOrder(w.runs) {
 		if !r.isFilling() || r.state != runRunning {
 			continue
@@ -74,7 +74,7 @@
 		runs = append(runs, r)
 		tasks = append(tasks, t)
 	}
-	for i, speed := range throttle.Speeds(slack, tasks) {
+	for i, speed := range throttle.Speeds(tolerance, tasks) {
 		c.setSpeed(runs[i], speed)
 	}
 }
--- a/cell/shrink_test.go
+++ b/cell/shrink_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against starts by a capacity that a worker no longer has.
+// Guards against starts that rely on a capacity which a worker no longer has.
 func TestStartsFitWorkersThatShrink(t *testing.T) {
 	tests := []struct {
 		name string
--- a/cell/survey.go
+++ b/cell/survey.go
@@ -105,7 +105,7 @@
 	}
 	c.survey.done = true
 	c.needsDispatch = true
-	c.markUnresolvedStarts()
+	c.requireRecordedStarts()
 	c.logEvent("workers surveyed", "workers", len(c.workers))
 }
 
--- a/cell/timing.go
+++ b/cell/timing.go
@@ -43,8 +43,8 @@
 	// HandoverDelay is how long a new owner gives no orders to machines, which don't check
 	// whether an order comes from the latest owner.
 	HandoverDelay time.Duration
-	// MaxSilence is how long a worker may be out of contact beyond IdleWait before it gets no
-	// new tasks.
+	// MaxSilence is how long beyond IdleWait a worker may be out of contact before it gets
+	// no new tasks.
 	MaxSilence time.Duration
 	// UnlistedGrace is how long a worker that answers still gets tasks after it disappeared
 	// from the list. Entries that expired in an outage of the store are back within two
@@ -57,8 +57,8 @@
 	MaxListAge time.Duration
 	// MaxCapacityAge is the maximum age of the list in any case. A list may announce that a
 	// worker's capacity shrinks, and a worker that doesn't enforce its capacity accepts
-	// excess starts. MaxCapacityAge is less than the time within which the change has to be known
-	// everywhere; the difference covers the delivery of an order.
+	// excess starts. MaxCapacityAge is less than the time within which the change has to be
+	// known everywhere; the difference covers the delivery of an order.
 	MaxCapacityAge time.Duration
 	// StallTimeout is how long a running task may show no progress before it counts as hanging.
 	StallTimeout time.Duration
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -22,7 +22,7 @@
 	startedAt   uint64        // start of the incarnation that answers, zero if it isn't known
 	lost        bool          // the incarnation is gone
 	token       uint64        // fencing token of orders to it; see nextToken
-	knownSince  time.Duration
+	knownSince  time.Duration // when this owner first knew of the incarnation
 
 	runs              map[string]*run // by task name
 	used              resource.Vector
--- a/cell/worker_test.go
+++ b/cell/worker_test.go
@@ -24,8 +24,8 @@
 	previousEntry      provider.Host    // list entry of the previous incarnation
 	entryListedAt      time.Duration    // when its own entry replaces that one
 	capacities         []capacityChange // changes of its capacity, empty if there were none
-	entryUnsound       bool             // its entry is corrupted
-	unsoundSince       time.Duration
+	entryCorrupt       bool             // its entry is corrupted
+	corruptSince       time.Duration
 	leaving            bool // it has announced its leave
 	leavingSince       time.Duration
 	token              uint64
@@ -59,8 +59,8 @@
 }
 
 const (
-	workerCores  = 8000
-	workerMemory = 16000
+	workerMillicores = 8000
+	workerMemory     = 16000
 )
 
 func newFakeWorker(s *site, number, incarnation int) *fakeWorker {
@@ -75,8 +75,8 @@
 			AvailabilityZone: zoneOf(number),
 			Machine:          fmt.Sprintf("m%d", number),
 			Labels:           []string{fmt.Sprintf("r%d", number/s.rackSize)},
-			Capacity:         resource.Vector{Processors: workerCores, Memory: workerMemory},
-			StartedAt:        bornAt(s.now, number, incarnation),
+			Capacity:         resource.Vector{Processors: workerMillicores, Memory: workerMemory},
+			StartedAt:        startTime(s.now, number, incarnation),
 		},
 		runs:         make(map[string]*fakeRun),
 		highestEnded: make(map[string]uint64),
@@ -90,9 +90,9 @@
 	return fmt.Sprintf("z%d", number%2)
 }
 
-// bornAt returns the start time of an incarnation by the clock of its machine, which may
+// startTime returns the start time of an incarnation by the clock of its machine, which may
 // have been set back or ahead since the previous incarnation.
-func bornAt(now time.Duration, number, incarnation int) uint64 {
+func startTime(now time.Duration, number, incarnation int) uint64 {
 	skew := int64((number*37+incarnation*1009)%6000) - 3000
 	return uint64(wall(now).UnixMilli() + skew)
 }
@@ -157,9 +157,9 @@
 
 // corruptEntry overwrites the worker's list entry for a while.
 func (w *fakeWorker) corruptEntry(d time.Duration) {
-	w.entryUnsound = true
-	w.unsoundSince = w.site.now
-	w.site.after(d, func() { w.entryUnsound = false })
+	w.entryCorrupt = true
+	w.corruptSince = w.site.now
+	w.site.after(d, func() { w.entryCorrupt = false })
 }
 
 // crash ends the worker's incarnation; another one comes up after down.
@@ -207,9 +207,9 @@
 	w.crash(down, w.site.incarnations)
 	w.site.after(down, func() {
 		next := w.site.workerAt(w.host)
-		born := next.host.StartedAt
+		startedAt := next.host.StartedAt
 		next.host = w.host
-		next.host.StartedAt = born
+		next.host.StartedAt = startedAt
 		next.previousEntry = before
 		next.entryListedAt = w.site.now + w.site.entryDelay
 	})
@@ -246,12 +246,12 @@
 }
 
 // forget drops the ends up to the given one, and later ones too if acksCoverLaterEnds.
-func (w *fakeWorker) forget(seen uint64) {
+func (w *fakeWorker) forget(acked uint64) {
 	if w.site.acksCoverLaterEnds {
-		w.ackMark = max(w.ackMark, seen)
-		seen = w.ackMark
+		w.ackMark = max(w.ackMark, acked)
+		acked = w.ackMark
 	}
-	for len(w.ended) > 0 && w.ended[0].Number <= seen {
+	for len(w.ended) > 0 && w.ended[0].Number <= acked {
 		w.site.recordAcknowledged(w.ended[0])
 		w.ended = w.ended[1:]
 	}
@@ -348,11 +348,11 @@
 		if !w.up || w.runs[name] != r || r.planCount != plans {
 			return
 		}
-		how := provider.EndDone
+		end := provider.EndDone
 		if s.failsTask(name, r.attempt) || s.isUnhealthy != nil && s.isUnhealthy(w) {
-			how = provider.EndFailed
+			end = provider.EndFailed
 		}
-		w.end(name, how)
+		w.end(name, end)
 	})
 }
 
@@ -383,16 +383,16 @@
 	return nil
 }
 
-func (w *fakeWorker) end(name string, how provider.End) {
+func (w *fakeWorker) end(name string, end provider.End) {
 	r := w.runs[name]
 	delete(w.runs, name)
-	if how == provider.EndDone {
+	if end == provider.EndDone {
 		w.site.completed[name] = true
 		w.site.endGang(name, r.attempt)
 	}
 	w.highestEnded[name] = max(w.highestEnded[name], r.attempt)
 	w.endCount++
-	w.ended = append(w.ended, provider.EndedRun{Number: w.endCount, Task: name, Attempt: r.attempt, End: how})
+	w.ended = append(w.ended, provider.EndedRun{Number: w.endCount, Task: name, Attempt: r.attempt, End: end})
 	w.forget(0)
 	waiters := w.waiters
 	w.waiters = nil
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -28,7 +28,7 @@
 // Bounds on the crashes of a task's workers.
 const (
 	// maxTrialCrashes is how many workers have to crash in trials. One may fail by chance
-	// within the third of a second that a trial takes, two in a row hardly.
+	// within the third of a second that a trial takes, but hardly two in a row.
 	maxTrialCrashes = 2
 	// maxCrashes is how many workers may crash in any case. It is reached if trials are
 	// inconclusive because other workers go down at the same moments.
