--- a/cell/schedule_test.go
+++ b/cell/schedule_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	scheduleSeeds  = 60
-	scheduleLength = 25 * time.Second
-	scheduleJobs   = 14
-	scheduleHosts  = 5
+	scheduleSeeds   = 60
+	scheduleLength  = 25 * time.Second
+	scheduleJobs    = 14
+	scheduleWorkers = 5
 )
 
 // TestRandomSchedules injects faults drawn from fixed seeds, alone and in combination, and
@@ -21,7 +21,7 @@
 // end.
 func TestRandomSchedules(t *testing.T) {
 	forEachSeed(t, scheduleSeeds, func(t *testing.T, seed uint64) {
-		s := newSite(t, 100+seed, scheduleHosts, 3)
+		s := newSite(t, 100+seed, scheduleWorkers, 3)
 		s.failsTask = func(_ string, attempt uint64) bool { return attempt%5 == 4 }
 		s.playSchedule()
 	})
@@ -32,7 +32,7 @@
 func (s *site) playSchedule() {
 	s.t.Helper()
 	is := is.New(s.t)
-	s.scheduleArrivals()
+	s.submitArrivals()
 	s.owners[0].takeOver()
 	for range 7 {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
@@ -43,12 +43,12 @@
 	is.Equal(s.violations, nil)
 	for id := range s.jobs {
 		state := s.state(id)
-		is.True(state == "completed" || state == "cancelled" || state == "failed") // nothing is left
+		is.True(state == "completed" || state == "cancelled" || state == "failed") // no job is left unfinished
 	}
 }
 
-// scheduleArrivals submits jobs over the length of the schedule.
-func (s *site) scheduleArrivals() {
+// submitArrivals submits jobs over the length of the schedule.
+func (s *site) submitArrivals() {
 	for i := range scheduleJobs {
 		at := time.Duration(s.rng.Int64N(int64(scheduleLength)))
 		j := &job.Job{ID: jobID(i), Steps: []job.Step{step(1+s.rng.IntN(4), 1+s.rng.Int64N(4)), step(1+s.rng.IntN(3), 2, 0)}}
@@ -61,7 +61,7 @@
 	}
 }
 
-// injectFault injects a random injectFault, which ends by itself.
+// injectFault injects a random fault, which ends by itself.
 func (s *site) injectFault() {
 	o := s.owners[s.rng.IntN(len(s.owners))]
 	w := s.workers[s.rng.IntN(len(s.workers))]
@@ -69,14 +69,14 @@
 	switch s.rng.IntN(7) {
 	case 0:
 		o.kill()
-		s.after(time.Second, s.takeOverByAny)
+		s.after(time.Second, s.takeOverBySuccessor)
 	case 1:
 		o.freeze(span)
-		s.after(1700*time.Millisecond, s.takeOverByAny)
+		s.after(1700*time.Millisecond, s.takeOverBySuccessor)
 	case 2:
 		o.noStore = true
 		s.after(span, func() { o.noStore = false })
-		s.after(1700*time.Millisecond, s.takeOverByAny)
+		s.after(1700*time.Millisecond, s.takeOverBySuccessor)
 	case 3:
 		for i := range s.workers {
 			o.unreachable[i] = s.rng.IntN(2) == 0
@@ -95,8 +95,8 @@
 	}
 }
 
-// takeOverByAny makes a random instance that reaches the store take the cell.
-func (s *site) takeOverByAny() {
+// takeOverBySuccessor makes an instance that reaches the store take the cell.
+func (s *site) takeOverBySuccessor() {
 	for range 10 {
 		o := s.owners[s.rng.IntN(len(s.owners))]
 		if !o.noStore && !o.frozen {
